--- a/coordination/src/gateway/escrow.rs
+++ b/coordination/src/gateway/escrow.rs
@@ -1,32 +1,35 @@
-//! Budget that programs may spend while the store is unavailable.
+//! Spending of program budgets while the store is unavailable.
 //!
-//! The ledger in the store bounds what a program spends. While it can't be
-//! written, owners grant a fixed share of each budget from memory. Every
-//! partition of programs has [`SLOTS`] slots; a row in the store names the run of
-//! a gateway that owns each. Grants enter the ledger when the store is back.
+//! A ledger in the store bounds the tokens that a program spends. While the store is
+//! unavailable, ledgers cannot be written, and gateway processes grant a fixed share of
+//! each budget from memory instead. Every partition of programs has [`SLOTS`] slots,
+//! and a row in the store names the process that owns each slot. The owner's grants are
+//! added to the ledgers when the store is available again.
 //!
-//! The ledger does not know of grants until then, so it withholds
-//! [`share_tokens`] of the budget for each slot that is open for the program: a
-//! slot is open until its owner has closed it, which means that no grant is
-//! outstanding and none will be made. Only budgets of several turns take part, so that
-//! programs with small budgets are neither granted nor withheld anything.
+//! Until then a ledger does not contain the grants. It therefore withholds
+//! [`share_tokens`] of the budget for each slot that is open for the program. A slot is
+//! open until its owner closes it for the program; from then on the slot has no
+//! outstanding grant for the program and makes no new one. Only budgets of several
+//! turns are eligible: programs with smaller budgets receive no grants, and nothing is
+//! withheld from them.
 //!
-//! An owner that dies takes the record of its grants along. Where it had said that it
-//! holds off ([`hold_off`]), it granted nothing, and the next run on its host takes its
-//! slots at once; otherwise they stay open and without an owner for a time. Whoever takes
-//! a slot after a death writes the slot's fence first, a row in the partition of its
-//! programs. A ledger that counts a slot as closed names the fence that its owner knew, and
-//! is written only if that is still the fence; so the new owner finds in the ledgers all
-//! that was closed before.
+//! When an owner dies, its record of grants is lost. If it died during an announced
+//! hold-off ([`hold_off`]), none of its grants was outstanding, and the next process on
+//! its host takes over its slots at once. Otherwise the slots stay open and without a live owner for a
+//! quarantine period. A process that takes over a slot after a death first writes the
+//! slot's fence, a row in the partition of the slot's programs. A ledger that counts a
+//! slot as closed records the fence version known to the slot's owner, and its
+//! transaction commits only if the fence still has that version. The new owner can
+//! therefore read from the ledgers every program that was closed before the takeover.
 //!
-//! | what | where |
+//! | topic | module |
 //! |---|---|
-//! | a slot, its row and its fence | [`slot`] |
-//! | which run owns a slot, and who takes it next | [`slots`] |
-//! | what an owner has granted | [`accounts`] |
-//! | when an owner grants nothing, and what its death says then | [`hold_off`] |
-//! | messages between a host and an owner | [`message`] |
-//! | what the ledger keeps room for | [`terms`] |
+//! | slots, their rows and their fences | [`slot`] |
+//! | ownership of slots and its transfer | [`slots`] |
+//! | grants that an owner has made | [`accounts`] |
+//! | periods in which an owner grants nothing, and recovery after its death | [`hold_off`] |
+//! | messages between gateway processes about slots | [`message`] |
+//! | tokens that a ledger withholds | [`terms`] |
 
 use std::collections::BTreeMap;
 
@@ -39,41 +42,43 @@
 pub mod slots;
 pub mod terms;
 
-/// Slots of a partition. Two hosts own them, so that the death of one leaves the
-/// other to grant.
+/// Number of slots of a partition. Two different hosts own them, so that one can still
+/// grant after the death of the other.
 pub const SLOTS: u8 = 2;
 
-/// Budgets below so many turns' most are excluded: a slot could hardly grant from
-/// them.
+/// Minimum budget of an eligible program, in multiples of a turn's maximum output
+/// tokens. The share of a slot in a smaller budget would hardly hold a grant.
 const MIN_BUDGET_TURNS: u64 = 3;
-/// The part of a turn's most that its first grant holds, as one in so many. Few
-/// turns generate more than half of their most; those ask again.
+/// Divisor of a turn's maximum output tokens that yields the size of its first grant.
+/// Few turns generate more than half of their maximum; those that do request a larger
+/// grant.
 const FIRST_GRANT_DIVISOR: u64 = 2;
-/// The part of a budget that each slot may grant, as one in so many.
+/// Divisor of a program's budget that yields the share of each slot.
 const SHARE_DIVISOR: u64 = 4;
 
-/// Number of a slot in its partition, below [`SLOTS`].
+/// Index of a slot in its partition, less than [`SLOTS`].
 pub type SlotIndex = u8;
 
-/// Identifies a grant.
+/// Identifier of a grant.
 pub type GrantId = String;
 
-/// Fences of a partition's slots: the versions of their rows, zero of one that was never
-/// written.
+/// Fence versions of a partition's slots. The version of a fence row that was never
+/// written is zero.
 pub type Fences = BTreeMap<SlotIndex, RowVersion>;
 
-/// Whether programs with this budget take part.
-pub const fn is_eligible(most_tokens: u64, budget_tokens: u64) -> bool {
-    budget_tokens >= most_tokens.saturating_mul(MIN_BUDGET_TURNS)
+/// Returns whether slots may grant from a budget of this size.
+pub const fn is_eligible(max_output_tokens: u64, budget_tokens: u64) -> bool {
+    budget_tokens >= max_output_tokens.saturating_mul(MIN_BUDGET_TURNS)
 }
 
-/// Most tokens of one program that a slot has granted and that are not in the ledger
-/// yet; the ledger leaves as many unspent for each open slot.
+/// Returns the maximum number of tokens of one program that a slot may have granted
+/// without their being in the ledger. The ledger withholds this number for each open
+/// slot.
 pub const fn share_tokens(budget_tokens: u64) -> u64 {
     budget_tokens / SHARE_DIVISOR
 }
 
-/// Tokens that a turn asks for before its first event.
-pub const fn first_grant_tokens(most_tokens: u64) -> u64 {
-    most_tokens.div_ceil(FIRST_GRANT_DIVISOR)
+/// Returns the tokens that a turn requests before its first event.
+pub const fn first_grant_tokens(max_output_tokens: u64) -> u64 {
+    max_output_tokens.div_ceil(FIRST_GRANT_DIVISOR)
 }
--- a/coordination/src/gateway/escrow/message.rs
+++ b/coordination/src/gateway/escrow/message.rs
@@ -1,4 +1,4 @@
-//! Messages between a host whose turn needs a slot and the slot's owner.
+//! Messages between gateway processes about slots.
 
 use std::time::Duration;
 
@@ -11,92 +11,96 @@
 use super::slot::SlotId;
 use crate::gateway::ledger::Holder;
 
-/// A question to a slot's owner. It may be repeated.
+/// Request to another process about a slot. It may be sent repeatedly.
 #[derive(Clone, Debug, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct Question {
-    /// Answers carry the same number.
+    /// Number of the request, which its answer repeats.
     pub number: u64,
-    /// The run that asks.
+    /// Process that sends the request.
     pub from: Holder,
-    /// The run that is asked; no other one answers.
+    /// Process that the request is addressed to. No other process answers it.
     pub to: Holder,
-    /// The slot.
+    /// Slot that the request concerns.
     pub slot: SlotId,
-    /// What is asked.
+    /// Content of the request.
     pub ask: Ask,
 }
 
-/// What a run is asked.
+/// Content of a request.
 #[derive(Clone, Debug, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub enum Ask {
-    /// A slot's owner is asked about a program.
+    /// Asks the owner of the slot about a program.
     Program(ProgramKey, ProgramAsk),
-    /// The owner stops: whether the run that is asked would take the slot over.
+    /// Asks whether the recipient would take over the slot from the sender, which is
+    /// stopping.
     Accept,
-    /// The owner stops while the store is unavailable: the one that is asked owns
-    /// the slot from now on.
+    /// Makes the recipient the owner of the slot. The sender is stopping while the
+    /// store is unavailable.
     TakeOver {
-        /// What the owner has granted and closed.
+        /// Accounts of the sender, with its grants and closures.
         accounts: Accounts,
-        /// The slot's fence.
+        /// Fence version of the slot.
         fence: RowVersion,
     },
-    /// The run that asks has taken the slot over from this one.
+    /// Announces that the sender has taken over the slot from this process.
     Moved(Holder),
 }
 
-/// What a slot's owner is asked about a program.
+/// Requests to the owner of a slot about one program.
 #[derive(Clone, Debug, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub enum ProgramAsk {
-    /// A turn wants a grant, or a larger one.
+    /// Requests a grant or the extension of a grant.
     Grant(GrantRequest),
-    /// A granted turn has ended with so many tokens.
+    /// Reports that a granted turn has ended after it emitted this number of tokens.
     Report(GrantId, u64),
-    /// The ledger has a grant.
+    /// Reports that a grant is in the ledger.
     Settle(GrantId),
-    /// The ledger needs what the slot may grant of the program's budget.
+    /// Asks the owner to close the slot for the program, because the ledger needs the
+    /// share that it withholds for the slot.
     Close,
 }
 
-/// What a slot's owner answers.
+/// Reply to a request.
 #[serde_as]
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub enum Reply {
-    /// The turn may spend what it wants.
+    /// The turn may spend the requested tokens.
     Granted,
-    /// The program's share does not hold the turn.
+    /// The owner does not grant the request; for example, the program's share is too
+    /// small.
     Refused,
-    /// The owner holds off for so long.
+    /// The owner holds off.
     HeldOff {
-        /// Time until it grants again.
+        /// Time until the owner grants again.
         #[serde_as(as = "DurationMilliSeconds<u64>")]
         wait_ms: Duration,
     },
     /// The slot is closed for the program.
     Closed {
-        /// The slot's fence.
+        /// Fence version of the slot.
         fence: RowVersion,
     },
-    /// The slot will be closed once the grants are in the ledger.
+    /// The slot makes no new grants to the program and will be closed for it once the
+    /// outstanding grants are in the ledger.
     Outstanding,
-    /// It is noted.
+    /// The recipient has accepted or recorded the request.
     Noted,
-    /// The one that was asked does not own the slot.
+    /// The recipient does not own the slot or does not take it over.
     NotOwner,
 }
 
-/// An answer to a question.
+/// Answer to a [`Question`].
 #[derive(Clone, Debug, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct Answer {
-    /// Number of the question.
+    /// Number of the request.
     pub number: u64,
-    /// The run that asked.
+    /// Process that sent the request.
     pub to: Holder,
-    /// The answer.
+    /// Reply to the request.
     pub reply: Reply,
 }
