--- a/coordination/src/gateway/escrow/accounts.rs
+++ b/coordination/src/gateway/escrow/accounts.rs
@@ -1,4 +1,4 @@
-//! What the owner of a slot has granted.
+//! Grants that the owner of a slot has made.
 
 use std::collections::BTreeMap;
 
@@ -7,42 +7,43 @@
 
 use super::{GrantId, is_eligible, share_tokens};
 
-/// Programs that one slot keeps at most. A slot that reaches it grants nothing
-/// more, since it could not remember what it has closed.
+/// Maximum number of programs that one slot records. A slot that would exceed it makes
+/// no more grants, because it could not record which programs it has closed.
 const MAX_PROGRAMS: usize = 50_000;
-/// Grants of one program that are outstanding at most.
+/// Maximum number of outstanding grants of one program.
 const MAX_GRANTS: usize = 64;
 
-/// A turn that asks for a grant.
+/// Request of a turn for a grant.
 #[derive(Clone, Debug, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct GrantRequest {
-    /// Names the grant. A request that is repeated gets the same one, and one that
-    /// wants more extends it.
+    /// Identifier of the grant. A repeated request receives the same grant, and a
+    /// request for more tokens extends it.
     pub grant: GrantId,
-    /// Tokens that it is to hold in all.
+    /// Total tokens that the grant must hold.
     pub tokens: u64,
-    /// Most tokens that the turn generates.
+    /// Maximum output tokens of the turn.
     pub most_tokens: u64,
-    /// Budget of the program.
+    /// Budget of the program, in tokens.
     pub budget_tokens: u64,
 }
 
-/// Whether a slot is closed for a program.
+/// Outcome of closing a slot for a program.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Closing {
-    /// Nothing is outstanding, and nothing will be granted.
+pub enum CloseOutcome {
+    /// No grant is outstanding, and the slot makes no new one.
     Closed,
-    /// Nothing more will be granted, but so many tokens are outstanding.
+    /// The slot makes no new grant, but this number of tokens is outstanding.
     Outstanding(u64),
 }
 
-/// The programs that a slot has granted to or closed.
+/// Accounts of the programs for which a slot has made grants or been closed.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct Accounts {
     programs: BTreeMap<ProgramKey, Account>,
-    /// Set for good once [`MAX_PROGRAMS`] is reached.
+    /// Whether the slot has had to reject a program because of [`MAX_PROGRAMS`]. It is
+    /// never reset, and a full slot makes no grants.
     #[serde(default)]
     is_full: bool,
 }
@@ -50,8 +51,8 @@
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
 struct Account {
-    /// Tokens of grants that are not in the ledger: what was granted until the turn
-    /// has ended, then what it handed out.
+    /// Tokens of each grant that is not in the ledger: the granted tokens until the
+    /// turn ends, then the tokens that the turn emitted.
     #[serde(default, skip_serializing_if = "BTreeMap::is_empty")]
     grants: BTreeMap<GrantId, u64>,
     #[serde(default)]
@@ -67,12 +68,13 @@
 }
 
 impl Accounts {
-    /// Grants a turn the tokens that it wants, if the program's share holds them.
+    /// Grants a turn the requested tokens if the program's share of the slot holds
+    /// them. Returns whether the grant holds at least the requested tokens.
     pub fn grant(&mut self, program: &str, request: &GrantRequest) -> bool {
         let share = share_tokens(request.budget_tokens);
         if !is_eligible(request.most_tokens, request.budget_tokens)
             || self.is_full
-            || !self.make_room(program)
+            || !self.has_capacity_for(program)
         {
             return false;
         }
@@ -81,19 +83,19 @@
         if granted.is_some_and(|granted| granted >= request.tokens) {
             return true;
         }
-        let others = account
+        let other_tokens = account
             .outstanding_tokens()
             .saturating_sub(granted.unwrap_or(0));
-        let is_held = others.saturating_add(request.tokens) <= share;
-        let has_room = granted.is_some() || account.grants.len() < MAX_GRANTS;
-        let is_granted = !account.is_closed && is_held && has_room;
+        let fits_share = other_tokens.saturating_add(request.tokens) <= share;
+        let has_free_entry = granted.is_some() || account.grants.len() < MAX_GRANTS;
+        let is_granted = !account.is_closed && fits_share && has_free_entry;
         if is_granted {
             account.grants.insert(request.grant.clone(), request.tokens);
         }
         is_granted
     }
 
-    /// Takes note of what a granted turn handed out in all.
+    /// Records the total tokens that a granted turn emitted.
     pub fn report(&mut self, program: &str, grant: &str, tokens: u64) {
         let account = self.programs.get_mut(program);
         if let Some(granted) = account.and_then(|account| account.grants.get_mut(grant)) {
@@ -101,7 +103,7 @@
         }
     }
 
-    /// Takes note that the ledger has a grant.
+    /// Removes a grant that is in the ledger.
     pub fn settle(&mut self, program: &str, grant: &str) {
         if let Some(account) = self.programs.get_mut(program) {
             account.grants.remove(grant);
@@ -111,23 +113,24 @@
         }
     }
 
-    /// Grants a program nothing more.
-    pub fn close(&mut self, program: &str) -> Closing {
-        let is_kept = self.make_room(program);
-        if !is_kept {
-            // A full slot grants nothing, so that there is nothing to remember.
-            return Closing::Closed;
+    /// Closes the slot for a program: the program receives no more grants.
+    pub fn close(&mut self, program: &str) -> CloseOutcome {
+        let can_record = self.has_capacity_for(program);
+        if !can_record {
+            // A full slot makes no grants, so the closure need not be recorded.
+            return CloseOutcome::Closed;
         }
         let account = self.programs.entry(program.to_owned()).or_default();
         account.is_closed = true;
         match account.outstanding_tokens() {
-            0 => Closing::Closed,
-            tokens => Closing::Outstanding(tokens),
+            0 => CloseOutcome::Closed,
+            tokens => CloseOutcome::Outstanding(tokens),
         }
     }
 
-    /// Whether the program has an account or may get one.
-    fn make_room(&mut self, program: &str) -> bool {
+    /// Returns whether the program has an account or an account can be added for it. If
+    /// not, the slot is marked as full.
+    fn has_capacity_for(&mut self, program: &str) -> bool {
         if self.programs.contains_key(program) {
             return true;
         }
@@ -135,13 +138,13 @@
         !self.is_full
     }
 
-    /// Whether a grant is not in a ledger yet.
+    /// Returns whether any grant is not yet in a ledger.
     pub fn has_grants(&self) -> bool {
         let mut accounts = self.programs.values();
         accounts.any(|account| !account.grants.is_empty())
     }
 
-    /// Tokens that are granted and not in a ledger.
+    /// Returns the granted tokens that are not yet in a ledger.
     pub fn outstanding_tokens(&self) -> u64 {
         let accounts = self.programs.values();
         accounts.fold(0, |sum, account| {
--- a/coordination/src/gateway/escrow/hold_off.rs
+++ b/coordination/src/gateway/escrow/hold_off.rs
@@ -1,19 +1,23 @@
-//! The time in which the owner of a slot grants nothing.
+//! Hold-off: a period in which the owner of a slot grants nothing.
 //!
-//! An owner that dies takes the record of its grants along. While the store answers, an
-//! owner therefore writes again and again that it holds off: until a time of the store's
-//! clock it grants nothing, and nothing that it has granted is outstanding. The next run on
-//! the same host knows that the owner had died before this run began. If that was before
-//! the end of the hold-off, nothing is lost, and the next run takes the slots at once.
+//! When an owner dies, its record of grants is lost. While the store is available, an
+//! owner therefore repeatedly writes a row that announces a hold-off: until the stated
+//! time of the store's clock it grants nothing, and none of its earlier grants is
+//! outstanding. A process starts only after the previous one on its host has died. If
+//! it started before the end of the hold-off, its predecessor died during the hold-off
+//! and lost no grants, so it takes over the predecessor's slots at once.
 //!
-//! A host may be cut off from a store that answers the owner. An owner that is asked for a
-//! grant ends its hold-off by a row of its own, the mark of the hold-off's epoch, and grants
-//! once that is durable. Rows of an epoch that has a mark tell nothing, however late they are
-//! written.
+//! A host may be disconnected from the store while the owner is still connected to it.
+//! An owner that is asked for a grant therefore ends its hold-off: it writes a separate
+//! row, the end marker of the hold-off's epoch, and grants again once the marker is
+//! durable. A hold-off row whose epoch has an end marker is ignored, however late the
+//! row is written.
 //!
-//! Clocks of two hosts are never compared. The end of a hold-off and the start of a run are
-//! times of the store, worked out from its answers so that an error makes the written
-//! hold-off shorter than the owner's own, and the start later than it was.
+//! The clocks of two hosts are never compared. The end of a hold-off and the start of a
+//! process are both times of the store's clock, estimated from its responses. An
+//! estimation error can only make the announced hold-off shorter than the one that the
+//! owner observes, and the recorded start of the next process later than the actual
+//! one.
 
 use std::time::Duration;
 
@@ -23,35 +27,36 @@
 
 use crate::gateway::ledger::Holder;
 
-/// How long an owner holds off after it has said so. A process that is killed starts again
-/// within it, and a turn at the beginning of an outage waits no longer than for it.
+/// Duration of a hold-off after its announcement. It is long enough for a killed
+/// process to be restarted within it. A turn at the beginning of an outage waits at
+/// most this long.
 pub const HOLD_OFF: Duration = Duration::from_millis(1_500);
-/// How long a hold-off is not renewed after a turn wanted a grant.
-pub const DEMAND_TIME: Duration = Duration::from_secs(3);
-/// Time between two renewals of a hold-off.
+/// Period after a request for a grant in which a hold-off is not renewed.
+pub const DEMAND_WINDOW: Duration = Duration::from_secs(3);
+/// Interval between two renewals of a hold-off.
 pub const RENEWAL_INTERVAL: Duration = Duration::from_millis(300);
 
-/// Counts the times that a run has ended its hold-off.
+/// Number of times that a process has ended its hold-off.
 pub type Epoch = u64;
 
-/// What an owner says of its hold-off.
+/// Stored announcement of an owner's hold-off.
 #[serde_as]
 #[derive(Clone, Debug, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct HoldOffRow {
-    /// The run that holds off.
+    /// Process that holds off.
     pub run: Holder,
-    /// Its epoch, which ends when the hold-off is ended.
+    /// Epoch of the hold-off. The end marker of this epoch invalidates the row.
     pub epoch: Epoch,
-    /// Until which time of the store's clock.
+    /// End of the hold-off, as a time of the store's clock.
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     pub until_store_ms: Duration,
 }
 
 impl HoldOffRow {
-    /// The row of a run that begins to hold off now. The store's clock shows `store_now`
-    /// or more.
+    /// Creates the row of a process that starts or renews a hold-off now. `store_now`
+    /// is a lower bound of the store's clock.
     pub fn new(run: Holder, epoch: Epoch, store_now: Duration) -> Self {
         Self {
             run,
@@ -60,43 +65,44 @@
         }
     }
 
-    /// Key of a host's row.
+    /// Returns the key of a host's row.
     pub fn key(host: &HostId) -> String {
         format!("hold-off/{host}")
     }
 
-    /// The range of the keys of a host's row and of the marks of its epochs: from the first
-    /// one, and below the second.
-    pub fn keys(host: &HostId) -> (String, String) {
+    /// Returns the range of keys that contains a host's row and the end markers of its
+    /// epochs, as an inclusive lower and an exclusive upper bound.
+    pub fn key_range(host: &HostId) -> (String, String) {
         (Self::key(host), format!("hold-off/{host}0"))
     }
 
-    /// Key of the mark that ends an epoch of a run.
-    pub fn mark_key(host: &HostId, run: &Holder, epoch: Epoch) -> String {
+    /// Returns the key of the end marker of an epoch of a process.
+    pub fn marker_key(host: &HostId, run: &Holder, epoch: Epoch) -> String {
         format!("hold-off/{host}/{run}/{epoch}")
     }
 
-    /// The row as a value.
+    /// Encodes the row as JSON.
     ///
     /// # Panics
     ///
-    /// Panics when a row has no JSON form, which none has.
+    /// Panics if serialization fails, which does not occur for strings and numbers.
     pub fn encode(&self) -> Vec<u8> {
         serde_json::to_vec(self).expect("strings and numbers have a JSON form")
     }
 
-    /// Reads a row's value.
+    /// Decodes a row from its stored value.
     ///
     /// # Errors
     ///
-    /// Fails when the value is no such row.
+    /// Returns an error if the value is not an encoded hold-off row.
     pub fn decode(value: &[u8]) -> Result<Self, serde_json::Error> {
         serde_json::from_slice(value)
     }
 
-    /// The run that died while it held off, if the present run of its host began at
-    /// `store_now` or before.
-    pub fn died_in_time(self, store_now: Duration) -> Option<Holder> {
+    /// Returns the process that died during its hold-off, if the current process of the
+    /// same host started no later than `store_now`; returns `None` if the hold-off may
+    /// have ended before.
+    pub fn died_within_hold_off(self, store_now: Duration) -> Option<Holder> {
         (store_now <= self.until_store_ms).then_some(self.run)
     }
 }
--- a/coordination/src/gateway/escrow/slots.rs
+++ b/coordination/src/gateway/escrow/slots.rs
@@ -1,77 +1,81 @@
-//! Which run of a gateway owns each slot.
+//! Ownership of slots by gateway processes.
 //!
-//! A row in the store names the owner. A run writes its own name where nobody's
-//! stands, under the version that it has seen. A run that stops writes that of a
-//! successor, with its accounts; while the store is unavailable it sends them to
-//! the successor instead. A successor has said before that it runs on: the table of
-//! hosts is older than what has stopped since. Where nobody says so the row names
-//! nobody, and any run takes it.
+//! A row in the store names the owner of each slot. A process becomes the owner of an
+//! unowned slot by a conditional write of the row, under the row version that it has
+//! read. A process that stops writes the name of a successor and its accounts into the
+//! row; while the store is unavailable, it sends the accounts to the successor instead.
+//! The successor must have confirmed beforehand that it keeps running, because the
+//! table of hosts may still list hosts that have stopped since. If no host confirms,
+//! the row names no owner, and any process may claim the slot.
 //!
-//! What a run knew that died is lost. If it held off at its death, the next run on its
-//! host takes its slots; otherwise they stay without an owner for [`QUARANTINE`], in which
-//! ledgers go on keeping room for its grants. Either way the new owner writes the slot's
-//! fence and reads from the ledgers which programs are closed before it answers for the
-//! slot.
+//! When an owner dies, its accounts are lost. If it died during a hold-off, the next
+//! process on its host takes over its slots. Otherwise its slots stay without a live
+//! owner for [`QUARANTINE`], and ledgers keep withholding tokens for its grants. In
+//! both cases the new owner writes the slot's fence and reads from the ledgers which
+//! programs are closed before it answers requests for the slot.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
 use rosebend_state::deployment::{ProgramKey, RowVersion};
 
-use super::accounts::{Accounts, Closing};
-use super::hold_off::{DEMAND_TIME, Epoch, HOLD_OFF, HoldOffRow};
+use super::accounts::{Accounts, CloseOutcome};
+use super::hold_off::{DEMAND_WINDOW, Epoch, HOLD_OFF, HoldOffRow};
 use super::message::{Ask, ProgramAsk, Reply};
 use super::slot::{KEY_PREFIX, SlotId, SlotRow, SlotWrite};
 use crate::gateway::gatherers::{Candidate, ranked_by, strong};
 use crate::gateway::ledger::Holder;
 
-/// How long a slot stays with an owner that is gone.
+/// Time for which a slot remains assigned to an owner that is absent.
 pub const QUARANTINE: Duration = Duration::from_secs(300);
-/// How long the table of hosts must be unchanged before a slot that never had an
-/// owner is taken, so that hosts which start together share the slots.
+/// Time for which the table of hosts must be unchanged before a slot that never had an
+/// owner is claimed. It lets hosts that start at the same time divide the slots between
+/// them.
 const STABLE_FOR: Duration = Duration::from_millis(1_500);
-/// Longest wait for a table of hosts that keeps changing.
+/// Maximum delay of a claim if the table of hosts keeps changing.
 const MAX_CLAIM_DELAY: Duration = Duration::from_secs(4);
-/// Largest value of a slot's row, in bytes.
+/// Maximum size of a slot's row, in bytes.
 const MAX_ROW_BYTES: usize = 40_000;
-/// Who owns a slot, as far as this host knows.
+
+/// Owner of a slot, as known to this process.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Owner<A> {
-    /// This run.
-    Own,
-    /// Another run, which answers at an address.
-    Other(Holder, A),
-    /// A run that is not among the hosts any more.
-    Gone,
-    /// Nobody, and nothing is lost.
-    Nobody,
+    /// This process owns the slot.
+    Local,
+    /// Another process owns the slot; it is listed with this address.
+    Remote(Holder, A),
+    /// The owner is not in the table of hosts.
+    Absent,
+    /// The slot has no owner, and no grants were lost.
+    Unowned,
 }
 
-/// A slot that this run answers for.
+/// State of a slot that this process owns and answers requests for.
 #[derive(Clone, Debug)]
-struct Held {
+struct HeldSlot {
     accounts: Accounts,
     fence: RowVersion,
 }
 
+/// Latest known row of a slot, and the state of its owner.
 #[derive(Clone, Debug, Default)]
-struct Known {
+struct ObservedSlot {
     version: RowVersion,
     row: SlotRow,
-    /// Since when the owner has been missing among the hosts.
+    /// Time since which the owner has been absent from the table of hosts.
     missing_since: Option<Duration>,
-    /// The run that took the slot over from the row's owner.
+    /// Process that took over the slot from the owner that the row names.
     moved_to: Option<Holder>,
 }
 
-impl Known {
+impl ObservedSlot {
     fn owner(&self) -> Option<&Holder> {
         self.moved_to.as_ref().or(self.row.owner.as_ref())
     }
 }
 
-impl Held {
-    /// The slot's row for another owner.
+impl HeldSlot {
+    /// Creates the slot's row for another owner.
     fn row(&self, owner: Option<Holder>) -> SlotRow {
         SlotRow {
             owner,
@@ -82,49 +86,51 @@
     }
 }
 
-/// The slots, as one run of a gateway knows them.
+/// State of all slots, as known to one gateway process.
 #[derive(Debug)]
 pub struct Slots<A> {
-    own_run: Holder,
+    own_process: Holder,
     hosts: Vec<Candidate<A>>,
     hosts_changed_at: Duration,
-    /// Whether all hosts keep room for grants in their ledgers; no slot is taken
-    /// before.
+    /// Whether all hosts withhold tokens for grants in their ledgers. No slot is
+    /// claimed before this is the case.
     all_withhold: bool,
-    known: BTreeMap<SlotId, Known>,
-    /// Since when there has been a slot without a row that this run should own.
-    wanted_since: Option<Duration>,
-    held: BTreeMap<SlotId, Held>,
-    /// The run before this one on its host, if it died while it held off.
-    quiet_run: Option<Holder>,
-    /// Until when this run grants nothing.
+    observed: BTreeMap<SlotId, ObservedSlot>,
+    /// Time since which there has been a slot without a row that this process should
+    /// own.
+    unclaimed_since: Option<Duration>,
+    held: BTreeMap<SlotId, HeldSlot>,
+    /// Previous process on this host, if it died during its hold-off.
+    clean_predecessor: Option<Holder>,
+    /// End of this process's hold-off; the process makes no grants until then.
     held_off_until: Duration,
-    /// When a turn last wanted a grant.
-    wanted_at: Option<Duration>,
-    /// Epoch of this run's hold-off.
+    /// Time of the last request for a grant.
+    last_demand_at: Option<Duration>,
+    /// Epoch of this process's hold-off.
     epoch: Epoch,
-    /// Slots that this run owned when it began to stop. It never answers for them
-    /// again, as others may by now.
+    /// Slots that this process owned when it began to stop. It never answers requests
+    /// for them again, because other processes may own them by now.
     released: BTreeSet<SlotId>,
-    /// Slots that this run said it takes over, and whose new row it has not seen.
+    /// Slots that this process has agreed to take over and whose new row it has not
+    /// read.
     accepted: BTreeSet<SlotId>,
     is_stopping: bool,
 }
 
 impl<A: Clone> Slots<A> {
-    /// No host and no row known.
-    pub const fn new(own_run: Holder) -> Self {
+    /// Creates a state without any hosts or rows.
+    pub const fn new(own_process: Holder) -> Self {
         Self {
-            own_run,
+            own_process,
             hosts: Vec::new(),
             hosts_changed_at: Duration::ZERO,
             all_withhold: false,
-            known: BTreeMap::new(),
-            wanted_since: None,
+            observed: BTreeMap::new(),
+            unclaimed_since: None,
             held: BTreeMap::new(),
-            quiet_run: None,
+            clean_predecessor: None,
             held_off_until: Duration::ZERO,
-            wanted_at: None,
+            last_demand_at: None,
             epoch: 0,
             released: BTreeSet::new(),
             accepted: BTreeSet::new(),
@@ -132,115 +138,119 @@
         }
     }
 
-    /// Takes all hosts that are there, this one among them.
+    /// Replaces the list of hosts, which includes this one.
     pub fn set_hosts(&mut self, hosts: Vec<Candidate<A>>, all_withhold: bool, now: Duration) {
-        let runs = |hosts: &[Candidate<A>]| -> Vec<Holder> {
+        let processes = |hosts: &[Candidate<A>]| -> Vec<Holder> {
             hosts.iter().map(|host| host.run.clone()).collect()
         };
-        if runs(&hosts) != runs(&self.hosts) {
+        if processes(&hosts) != processes(&self.hosts) {
             self.hosts_changed_at = now;
         }
         self.hosts = hosts;
         self.all_withhold = all_withhold;
     }
 
-    /// Takes a slot's row.
-    pub fn take_row(&mut self, slot: SlotId, version: RowVersion, row: SlotRow) {
-        let known = self.known.entry(slot.clone()).or_default();
-        if version < known.version {
+    /// Records a slot's row that was read from or written to the store. A row older than
+    /// the recorded one is ignored.
+    pub fn observe_row(&mut self, slot: SlotId, version: RowVersion, row: SlotRow) {
+        let observed = self.observed.entry(slot.clone()).or_default();
+        if version < observed.version {
             return;
         }
-        let has_new_owner = known.row.owner != row.owner;
-        known.version = version;
-        known.row = row;
+        let has_new_owner = observed.row.owner != row.owner;
+        observed.version = version;
+        observed.row = row;
         if has_new_owner {
-            known.missing_since = None;
-            known.moved_to = None;
+            observed.missing_since = None;
+            observed.moved_to = None;
             self.accepted.remove(&slot);
         }
-        let is_own = known.row.owner.as_ref() == Some(&self.own_run);
-        let is_complete = is_own && !known.row.has_unread_closings;
+        let is_own = observed.row.owner.as_ref() == Some(&self.own_process);
+        let is_complete = is_own && !observed.row.has_unread_closings;
         if is_complete && has_new_owner && !self.is_stopping && !self.held.contains_key(&slot) {
-            let held = Held {
-                accounts: known.row.accounts.clone(),
-                fence: known.row.fence,
+            let held = HeldSlot {
+                accounts: observed.row.accounts.clone(),
+                fence: observed.row.fence,
             };
             self.held.insert(slot, held);
         }
     }
 
-    /// Who owns a slot.
+    /// Returns the owner of a slot.
     pub fn owner(&self, slot: &SlotId) -> Owner<A> {
         if self.held.contains_key(slot) {
-            return Owner::Own;
+            return Owner::Local;
         }
-        let owner = self.known.get(slot).and_then(Known::owner);
+        let owner = self.observed.get(slot).and_then(ObservedSlot::owner);
         match owner {
-            None => Owner::Nobody,
-            Some(run) => match self.host(run) {
-                Some(host) if *run != self.own_run => {
-                    Owner::Other(run.clone(), host.address.clone())
+            None => Owner::Unowned,
+            Some(process) => match self.host(process) {
+                Some(host) if *process != self.own_process => {
+                    Owner::Remote(process.clone(), host.address.clone())
                 }
-                _ => Owner::Gone,
+                _ => Owner::Absent,
             },
         }
     }
 
-    fn host(&self, run: &Holder) -> Option<&Candidate<A>> {
-        self.hosts.iter().find(|host| host.run == *run)
+    fn host(&self, process: &Holder) -> Option<&Candidate<A>> {
+        self.hosts.iter().find(|host| host.run == *process)
     }
 
-    /// Number of slots whose owner is among the hosts.
-    pub fn owned(&self) -> usize {
+    /// Returns the number of slots whose owner is in the table of hosts.
+    pub fn live_owner_count(&self) -> usize {
         let owners = SlotId::all().map(|slot| self.owner(&slot));
-        let owned = owners.filter(|owner| matches!(owner, Owner::Own | Owner::Other(..)));
+        let owned = owners.filter(|owner| matches!(owner, Owner::Local | Owner::Remote(..)));
         owned.count()
     }
 
-    /// Slots that this run owns.
+    /// Returns the slots that this process answers requests for, with their accounts.
     pub fn held(&self) -> impl Iterator<Item = (&SlotId, &Accounts)> {
         self.held.iter().map(|(slot, held)| (slot, &held.accounts))
     }
 
-    /// Slots that this run owns and does not answer for yet, since it does not know which
-    /// programs are closed.
+    /// Returns the slots that this process owns but does not answer requests for yet,
+    /// because it has not read which programs are closed.
     pub fn incomplete(&self) -> Vec<SlotId> {
-        let is_incomplete = |slot: &SlotId, known: &Known| {
-            let is_own = known.row.owner.as_ref() == Some(&self.own_run);
-            is_own && known.row.has_unread_closings && !self.held.contains_key(slot)
+        let is_incomplete = |slot: &SlotId, observed: &ObservedSlot| {
+            let is_own = observed.row.owner.as_ref() == Some(&self.own_process);
+            is_own && observed.row.has_unread_closings && !self.held.contains_key(slot)
         };
-        let known = self.known.iter();
-        let incomplete = known.filter(|(slot, known)| is_incomplete(slot, known));
+        let observed = self.observed.iter();
+        let incomplete = observed.filter(|(slot, observed)| is_incomplete(slot, observed));
         match self.is_stopping {
             true => Vec::new(),
             false => incomplete.map(|(slot, _)| slot.clone()).collect(),
         }
     }
 
-    /// Answers for a slot that was incomplete. `closed` are the programs that ledgers
-    /// counted as closed when the slot had this fence already.
+    /// Completes a slot, so that this process answers requests for it. `closed` lists
+    /// the programs whose ledgers counted the slot as closed when its fence already had
+    /// the version `fence`.
     pub fn complete(&mut self, slot: &SlotId, fence: RowVersion, closed: &[ProgramKey]) {
         if !self.incomplete().contains(slot) {
             return;
         }
-        let mut accounts = self.known[slot].row.accounts.clone();
+        let mut accounts = self.observed[slot].row.accounts.clone();
         for program in closed {
             accounts.close(program);
         }
-        self.held.insert(slot.clone(), Held { accounts, fence });
+        self.held.insert(slot.clone(), HeldSlot { accounts, fence });
     }
 
-    /// Takes note of the run before this one on its host, if it died while it held off.
-    pub fn set_quiet_run(&mut self, run: Option<Holder>) {
-        self.quiet_run = run;
+    /// Sets the previous process on this host, if it died during its hold-off.
+    pub fn set_clean_predecessor(&mut self, process: Option<Holder>) {
+        self.clean_predecessor = process;
     }
 
-    /// Rows by which this run becomes the owner of the slots of that run.
-    pub fn inherit(&self) -> Vec<SlotWrite> {
-        let known = self.known.iter();
-        let inherited = known.filter(|(slot, known)| {
-            let is_quiet = known.row.owner.is_some() && known.row.owner == self.quiet_run;
-            is_quiet && !self.held.contains_key(slot)
+    /// Returns the writes by which this process takes over the slots of the previous
+    /// process on its host that died during its hold-off.
+    pub fn inheritance_claims(&self) -> Vec<SlotWrite> {
+        let observed = self.observed.iter();
+        let inherited = observed.filter(|(slot, observed)| {
+            let is_predecessor_owned =
+                observed.row.owner.is_some() && observed.row.owner == self.clean_predecessor;
+            is_predecessor_owned && !self.held.contains_key(slot)
         });
         match self.is_stopping {
             true => Vec::new(),
@@ -250,33 +260,39 @@
         }
     }
 
-    /// Whether this run owns a slot.
+    /// Returns whether this process owns any slot.
     pub fn is_owner(&self) -> bool {
         !self.held.is_empty() || !self.incomplete().is_empty()
     }
 
-    /// Holds off from now on. Returns the row that says so; none while grants are
-    /// outstanding or were wanted lately. `store_now` is what the store's clock shows at
-    /// least. A run that stops goes on until it has given up its slots: it may be killed on
-    /// its way.
-    pub fn hold_off(&mut self, now: Duration, store_now: Duration) -> Option<HoldOffRow> {
+    /// Starts or renews the hold-off and returns the row that announces it. Returns
+    /// `None` if grants are outstanding or a grant was requested recently. `store_now`
+    /// is a lower bound of the store's clock. A process that is stopping keeps renewing
+    /// its hold-off until it has released its slots, because it may be killed before
+    /// that.
+    pub fn renew_hold_off(&mut self, now: Duration, store_now: Duration) -> Option<HoldOffRow> {
         let mut accounts = self.held.values().map(|held| &held.accounts);
-        let was_wanted = |at: Duration| now.saturating_sub(at) < DEMAND_TIME;
-        if self.wanted_at.is_some_and(was_wanted) || accounts.any(Accounts::has_grants) {
+        let is_recent = |at: Duration| now.saturating_sub(at) < DEMAND_WINDOW;
+        if self.last_demand_at.is_some_and(is_recent) || accounts.any(Accounts::has_grants) {
             return None;
         }
         self.held_off_until = now + HOLD_OFF;
-        Some(HoldOffRow::new(self.own_run.clone(), self.epoch, store_now))
+        Some(HoldOffRow::new(
+            self.own_process.clone(),
+            self.epoch,
+            store_now,
+        ))
     }
 
-    /// The epoch that this run should end, since a turn wants a grant while it holds off.
+    /// Returns the epoch that this process should end, because a grant was requested
+    /// during its hold-off.
     pub fn epoch_to_end(&self, now: Duration) -> Option<Epoch> {
-        let is_held_off = !self.held_off_for(now).is_zero();
-        let was_wanted = |at: Duration| now.saturating_sub(at) < DEMAND_TIME;
-        (is_held_off && self.wanted_at.is_some_and(was_wanted)).then_some(self.epoch)
+        let is_held_off = !self.hold_off_remaining(now).is_zero();
+        let is_recent = |at: Duration| now.saturating_sub(at) < DEMAND_WINDOW;
+        (is_held_off && self.last_demand_at.is_some_and(is_recent)).then_some(self.epoch)
     }
 
-    /// Holds off no more: the mark of the epoch is durable.
+    /// Ends the hold-off after the end marker of its epoch has become durable.
     pub fn end_epoch(&mut self, epoch: Epoch) {
         if epoch == self.epoch {
             self.epoch += 1;
@@ -284,36 +300,36 @@
         }
     }
 
-    /// For how long this run holds off.
-    pub fn held_off_for(&self, now: Duration) -> Duration {
+    /// Returns the time until this process's hold-off ends.
+    pub fn hold_off_remaining(&self, now: Duration) -> Duration {
         self.held_off_until.saturating_sub(now)
     }
 
-    /// What this run answers to a question about a slot.
+    /// Handles a request about a slot and returns the reply.
     pub fn answer(&mut self, slot: &SlotId, from: &Holder, ask: Ask, now: Duration) -> Reply {
         match ask {
             Ask::Accept => self.accept(slot),
             Ask::TakeOver { accounts, fence } => {
-                self.take_over(slot, from, Held { accounts, fence })
+                self.take_over(slot, from, HeldSlot { accounts, fence })
             }
-            Ask::Moved(owner) => self.moved(slot, &owner, from),
-            Ask::Program(program, ask) => self.answer_for(slot, &program, ask, now),
+            Ask::Moved(owner) => self.record_move(slot, &owner, from),
+            Ask::Program(program, ask) => self.answer_program(slot, &program, ask, now),
         }
     }
 
-    fn answer_for(
+    fn answer_program(
         &mut self,
         slot: &SlotId,
         program: &str,
         ask: ProgramAsk,
         now: Duration,
     ) -> Reply {
-        let wait_ms = self.held_off_for(now);
-        let Some(Held { accounts, fence }) = self.held.get_mut(slot) else {
+        let wait_ms = self.hold_off_remaining(now);
+        let Some(HeldSlot { accounts, fence }) = self.held.get_mut(slot) else {
             return Reply::NotOwner;
         };
         if matches!(ask, ProgramAsk::Grant(_)) {
-            self.wanted_at = Some(now);
+            self.last_demand_at = Some(now);
         }
         match ask {
             ProgramAsk::Grant(_) if !wait_ms.is_zero() => Reply::HeldOff { wait_ms },
@@ -330,8 +346,8 @@
                 Reply::Noted
             }
             ProgramAsk::Close => match accounts.close(program) {
-                Closing::Closed => Reply::Closed { fence: *fence },
-                Closing::Outstanding(_) => Reply::Outstanding,
+                CloseOutcome::Closed => Reply::Closed { fence: *fence },
+                CloseOutcome::Outstanding(_) => Reply::Outstanding,
             },
         }
     }
@@ -344,113 +360,118 @@
         Reply::Noted
     }
 
-    fn take_over(&mut self, slot: &SlotId, from: &Holder, held: Held) -> Reply {
-        let known = self.known.entry(slot.clone()).or_default();
-        if known.moved_to.as_ref() == Some(&self.own_run) {
-            // The question was repeated.
+    fn take_over(&mut self, slot: &SlotId, from: &Holder, held: HeldSlot) -> Reply {
+        let observed = self.observed.entry(slot.clone()).or_default();
+        if observed.moved_to.as_ref() == Some(&self.own_process) {
+            // The request was repeated.
             return Reply::Noted;
         }
-        if self.is_stopping || known.owner() != Some(from) {
+        if self.is_stopping || observed.owner() != Some(from) {
             return Reply::NotOwner;
         }
-        known.moved_to = Some(self.own_run.clone());
+        observed.moved_to = Some(self.own_process.clone());
         self.held.insert(slot.clone(), held);
         Reply::Noted
     }
 
-    fn moved(&mut self, slot: &SlotId, owner: &Holder, to: &Holder) -> Reply {
-        let known = self.known.entry(slot.clone()).or_default();
-        if known.owner() == Some(owner) {
-            known.moved_to = Some(to.clone());
+    fn record_move(&mut self, slot: &SlotId, owner: &Holder, to: &Holder) -> Reply {
+        let observed = self.observed.entry(slot.clone()).or_default();
+        if observed.owner() == Some(owner) {
+            observed.moved_to = Some(to.clone());
         }
         Reply::Noted
     }
 
-    /// Rows by which this run becomes the owner of what it should own.
+    /// Returns the writes by which this process becomes the owner of the slots that it
+    /// should own.
     pub fn claims(&mut self, now: Duration) -> Vec<SlotWrite> {
-        self.note_missing(now);
-        let wanted = SlotId::all().filter(|slot| self.is_wanted(slot, now));
-        let (mut wanted, new): (Vec<SlotId>, Vec<SlotId>) =
-            wanted.partition(|slot| self.known.contains_key(slot));
+        self.update_missing(now);
+        let claimable = SlotId::all().filter(|slot| self.should_claim(slot, now));
+        let (mut claimable, new): (Vec<SlotId>, Vec<SlotId>) =
+            claimable.partition(|slot| self.observed.contains_key(slot));
         if new.is_empty() {
-            self.wanted_since = None;
+            self.unclaimed_since = None;
         } else {
-            let since = *self.wanted_since.get_or_insert(now);
+            let since = *self.unclaimed_since.get_or_insert(now);
             let is_stable = now.saturating_sub(self.hosts_changed_at) >= STABLE_FOR;
             if is_stable || now.saturating_sub(since) >= MAX_CLAIM_DELAY {
-                wanted.extend(new);
+                claimable.extend(new);
             }
         }
-        wanted.into_iter().map(|slot| self.claim(slot)).collect()
+        claimable.into_iter().map(|slot| self.claim(slot)).collect()
     }
 
-    /// A row by which this run becomes the owner of a slot that nobody owns.
-    pub fn claim_now(&self, slot: &SlotId) -> Option<SlotWrite> {
-        let is_free = matches!(self.owner(slot), Owner::Nobody);
+    /// Returns the write by which this process becomes the owner of an unowned slot.
+    pub fn claim_if_unowned(&self, slot: &SlotId) -> Option<SlotWrite> {
+        let is_free = matches!(self.owner(slot), Owner::Unowned);
         let may_own = self.all_withhold && !self.is_stopping;
         (is_free && may_own).then(|| self.claim(slot.clone()))
     }
 
     fn claim(&self, slot: SlotId) -> SlotWrite {
-        let known = self.known.get(&slot).cloned().unwrap_or_default();
-        let owner = Some(self.own_run.clone());
+        let observed = self.observed.get(&slot).cloned().unwrap_or_default();
+        let owner = Some(self.own_process.clone());
         let row = match self.held.get(&slot) {
             Some(held) => held.row(owner),
             None => SlotRow {
-                has_unread_closings: known.row.has_unread_closings || known.row.owner.is_some(),
+                has_unread_closings: observed.row.has_unread_closings
+                    || observed.row.owner.is_some(),
                 owner,
-                ..known.row
+                ..observed.row
             },
         };
         SlotWrite {
             slot,
-            version: known.version,
+            version: observed.version,
             row,
         }
     }
 
-    fn note_missing(&mut self, now: Duration) {
-        let runs: Vec<&Holder> = self.hosts.iter().map(|host| &host.run).collect();
-        for known in self.known.values_mut() {
-            let is_missing = known.owner().is_some_and(|owner| !runs.contains(&owner));
+    fn update_missing(&mut self, now: Duration) {
+        let processes: Vec<&Holder> = self.hosts.iter().map(|host| &host.run).collect();
+        for observed in self.observed.values_mut() {
+            let is_missing = observed
+                .owner()
+                .is_some_and(|owner| !processes.contains(&owner));
             match is_missing {
-                true => known.missing_since = Some(known.missing_since.unwrap_or(now)),
-                false => known.missing_since = None,
+                true => observed.missing_since = Some(observed.missing_since.unwrap_or(now)),
+                false => observed.missing_since = None,
             }
         }
     }
 
-    /// Whether this run should write its name into a slot's row.
-    fn is_wanted(&self, slot: &SlotId, now: Duration) -> bool {
+    /// Returns whether this process should write its name into a slot's row.
+    fn should_claim(&self, slot: &SlotId, now: Duration) -> bool {
         if !self.all_withhold || self.is_stopping {
             return false;
         }
-        let known = self.known.get(slot);
-        let row_owner = known.and_then(|known| known.row.owner.as_ref());
+        let observed = self.observed.get(slot);
+        let row_owner = observed.and_then(|observed| observed.row.owner.as_ref());
         if self.held.contains_key(slot) {
-            // It was taken over from a run that could not write the row.
-            return row_owner != Some(&self.own_run);
+            // The slot was taken over from a process that could not write the row.
+            return row_owner != Some(&self.own_process);
         }
-        if row_owner.is_some() && row_owner == self.quiet_run.as_ref() {
+        if row_owner.is_some() && row_owner == self.clean_predecessor.as_ref() {
             return true;
         }
-        let missing_since = known.and_then(|known| known.missing_since);
-        let is_lapsed = missing_since.is_some_and(|since| now.saturating_sub(since) >= QUARANTINE);
-        let is_free = row_owner.is_none() || is_lapsed;
-        is_free && self.next_owner(slot) == Some(&self.own_run)
+        let missing_since = observed.and_then(|observed| observed.missing_since);
+        let is_quarantine_over =
+            missing_since.is_some_and(|since| now.saturating_sub(since) >= QUARANTINE);
+        let is_free = row_owner.is_none() || is_quarantine_over;
+        is_free && self.preferred_owner(slot) == Some(&self.own_process)
     }
 
-    /// The run that takes a slot that is free: the first in the partition's order
-    /// that does not own the other slot.
-    fn next_owner(&self, slot: &SlotId) -> Option<&Holder> {
+    /// Returns the process that should claim an unowned slot: the first one in the
+    /// partition's rendezvous order that does not own the partition's other slot.
+    fn preferred_owner(&self, slot: &SlotId) -> Option<&Holder> {
         let hosts = strong(self.hosts.clone());
         let ranked = ranked_by(&format!("{KEY_PREFIX}{}", slot.partition), hosts.iter());
         let ranked: Vec<Holder> = ranked.into_iter().map(|host| host.run.clone()).collect();
         let mut taken = Vec::new();
-        for other in SlotId::of(&slot.partition) {
-            let owner = self.known.get(&other).and_then(Known::owner);
+        for other in SlotId::of_partition(&slot.partition) {
+            let owner = self.observed.get(&other).and_then(ObservedSlot::owner);
             let owner = owner.filter(|owner| ranked.contains(owner));
-            let is_free = |run: &&Holder| !taken.contains(*run);
+            let is_free = |process: &&Holder| !taken.contains(*process);
             let next = match owner {
                 Some(owner) if other != *slot => Some(owner.clone()),
                 _ => ranked.iter().find(is_free).or(ranked.first()).cloned(),
@@ -463,31 +484,33 @@
         None
     }
 
-    /// Takes no slot any more, since the process stops.
-    pub const fn stop_taking(&mut self) {
+    /// Stops this process from claiming or accepting slots, because it is stopping.
+    pub const fn stop_acquiring(&mut self) {
         self.is_stopping = true;
     }
 
-    /// Slots that this run said it takes over, and whose new row it has not seen. Before
-    /// it gives up its slots it reads these rows.
+    /// Returns the slots that this process has agreed to take over and whose new row it
+    /// has not read. The process reads these rows before it releases its slots.
     pub fn accepted(&self) -> Vec<SlotId> {
         self.accepted.iter().cloned().collect()
     }
 
-    /// Rows by which this run gives up its slots, with what it knows of them. They name
-    /// nobody yet. It answers for the slots no more.
+    /// Releases all slots of this process and returns the writes that store their
+    /// accounts. The rows do not name a successor yet. The process no longer answers
+    /// requests for the slots.
     pub fn release(&mut self) -> Vec<SlotWrite> {
-        self.stop_taking();
+        self.stop_acquiring();
         let held = std::mem::take(&mut self.held).into_iter();
         let mut released: BTreeMap<SlotId, SlotRow> =
             held.map(|(slot, held)| (slot, held.row(None))).collect();
-        // Others may have named this run as their successor since it began to stop.
-        for (slot, known) in &self.known {
-            let is_own = known.row.owner.as_ref() == Some(&self.own_run);
+        // Other processes may have named this one as their successor since it began to
+        // stop.
+        for (slot, observed) in &self.observed {
+            let is_own = observed.row.owner.as_ref() == Some(&self.own_process);
             if is_own && !self.released.contains(slot) {
                 let row = || SlotRow {
                     owner: None,
-                    ..known.row.clone()
+                    ..observed.row.clone()
                 };
                 released.entry(slot.clone()).or_insert_with(row);
             }
@@ -495,8 +518,12 @@
         self.released.extend(released.keys().cloned());
         let mut writes = Vec::new();
         for (slot, row) in released {
-            let version = self.known.get(&slot).map_or(0, |known| known.version);
-            // One that has no room in its row stays with a run that is gone.
+            let version = self
+                .observed
+                .get(&slot)
+                .map_or(0, |observed| observed.version);
+            // A slot whose row would be too large remains assigned to this process
+            // after it has stopped.
             if row.encode().len() <= MAX_ROW_BYTES {
                 writes.push(SlotWrite { slot, version, row });
             }
@@ -504,37 +531,40 @@
         writes
     }
 
-    /// Those of the rows by which this run gives up slots that are not written yet, under
-    /// the versions that are known now.
-    pub fn not_given_up(&self, writes: Vec<SlotWrite>) -> Vec<SlotWrite> {
+    /// Returns those of the given release writes that have not been applied, with the
+    /// row versions that are known now.
+    pub fn unwritten_releases(&self, writes: Vec<SlotWrite>) -> Vec<SlotWrite> {
         let renew = |mut write: SlotWrite| {
-            let known = self.known.get(&write.slot)?;
-            write.version = known.version;
-            (known.owner() == Some(&self.own_run)).then_some(write)
+            let observed = self.observed.get(&write.slot)?;
+            write.version = observed.version;
+            (observed.owner() == Some(&self.own_process)).then_some(write)
         };
         writes.into_iter().filter_map(renew).collect()
     }
 
-    /// The hosts that may take a slot over from this run, which stops, in the order in
-    /// which they are asked. Those that own the partition's other slots come last.
+    /// Returns the hosts that may take over a slot from this process, which is
+    /// stopping, in the order in which they are asked. Hosts that own other slots of
+    /// the partition come last.
     pub fn successors(&self, slot: &SlotId) -> Vec<Candidate<A>> {
         let hosts = strong(self.hosts.clone());
         let ranked = ranked_by(&format!("{KEY_PREFIX}{}", slot.partition), hosts.iter());
-        let others = SlotId::of(&slot.partition).filter(|other| other != slot);
+        let others = SlotId::of_partition(&slot.partition).filter(|other| other != slot);
         let others: Vec<&Holder> = others
-            .filter_map(|other| self.known.get(&other)?.owner())
+            .filter_map(|other| self.observed.get(&other)?.owner())
             .collect();
         let mut ranked: Vec<&Candidate<A>> = ranked
             .into_iter()
-            .filter(|host| host.run != self.own_run)
+            .filter(|host| host.run != self.own_process)
             .collect();
-        // Stable: otherwise they stay in their order.
+        // The sort is stable, so that hosts otherwise keep their rendezvous order.
         ranked.sort_by_key(|host| others.contains(&&host.run));
         ranked.into_iter().cloned().collect()
     }
 
-    /// Other hosts.
+    /// Returns all hosts but this one.
     pub fn peers(&self) -> impl Iterator<Item = &Candidate<A>> {
-        self.hosts.iter().filter(|host| host.run != self.own_run)
+        self.hosts
+            .iter()
+            .filter(|host| host.run != self.own_process)
     }
 }
--- a/coordination/src/gateway/ledger.rs
+++ b/coordination/src/gateway/ledger.rs
@@ -245,7 +245,9 @@
     /// long as all that was ever forgiven is no more than the turn's most.
     fn forgive_slots(&mut self, turn: &Claim<'_>) -> u64 {
         let EscrowTerms::Eligible {
-            takes_grants, gone, ..
+            takes_grants,
+            unreachable,
+            ..
         } = turn.escrow
         else {
             return turn.budget_tokens;
@@ -257,7 +259,7 @@
         let share = share_tokens(turn.budget_tokens);
         let is_open = |slot: &SlotIndex| !self.closed_at_fences.contains_key(slot);
         let open = (0..SLOTS).filter(is_open).count() as u64;
-        let lost = gone.iter().copied().filter(is_open).count() as u64;
+        let lost = unreachable.iter().copied().filter(is_open).count() as u64;
         let withheld = share.saturating_mul(open);
         let left = withheld.saturating_sub(self.forgiven_slot_tokens);
         let available = turn.budget_tokens.saturating_sub(left);
--- a/coordination/src/gateway/pending_changes.rs
+++ b/coordination/src/gateway/pending_changes.rs
@@ -352,7 +352,7 @@
     /// Takes note of the fences among the rows of a conflict.
     fn take_fences(&mut self, rows: &[Row]) {
         for row in rows {
-            if let Some(index) = SlotId::of_fence_row(&row.id) {
+            if let Some(index) = SlotId::index_from_fence_row(&row.id) {
                 self.fences.insert(index, row.version);
             }
         }
--- a/coordination/tests/escrow_world/mod.rs
+++ b/coordination/tests/escrow_world/mod.rs
@@ -9,7 +9,7 @@
 use rosebend_coordination::gateway::escrow::message::{Ask, ProgramAsk, Reply};
 use rosebend_coordination::gateway::escrow::slot::{SlotId, SlotRow, SlotWrite};
 use rosebend_coordination::gateway::escrow::slots::{Owner, Slots};
-use rosebend_coordination::gateway::escrow::terms::{ClosingAnswers, EscrowTerms};
+use rosebend_coordination::gateway::escrow::terms::{CloseReplies, EscrowTerms};
 use rosebend_coordination::gateway::gatherers::Candidate;
 use rosebend_coordination::gateway::history::partition_of;
 use rosebend_coordination::gateway::ledger::Ledger;
@@ -143,7 +143,7 @@
         slots.set_hosts(candidates, true, now);
         for (id, (version, value)) in &self.store.rows {
             if let Some(slot) = SlotId::from_key(&id.key) {
-                slots.take_row(slot, *version, SlotRow::decode(value).unwrap());
+                slots.observe_row(slot, *version, SlotRow::decode(value).unwrap());
             }
         }
     }
@@ -171,10 +171,11 @@
         host.knows_last_run = true;
         if let Some((_, value)) = self.store.rows.get(&Self::hold_off_row(index)) {
             let row = HoldOffRow::decode(value).unwrap();
-            let mark = HoldOffRow::mark_key(&format!("host-{index}"), &row.run, row.epoch);
+            let mark = HoldOffRow::marker_key(&format!("host-{index}"), &row.run, row.epoch);
             let mark = RowId::new(HOLD_OFF_TABLE, "", mark);
             if !self.store.rows.contains_key(&mark) {
-                host.slots.set_quiet_run(row.died_in_time(host.began_at));
+                host.slots
+                    .set_clean_predecessor(row.died_within_hold_off(host.began_at));
             }
         }
     }
@@ -185,7 +186,7 @@
         if !self.is_store_up || !self.hosts[host].slots.is_owner() {
             return;
         }
-        if let Some(row) = self.hosts[host].slots.hold_off(now, now) {
+        if let Some(row) = self.hosts[host].slots.renew_hold_off(now, now) {
             let write = RowWrite {
                 row: Self::hold_off_row(host),
                 value: row.encode(),
@@ -205,7 +206,7 @@
         };
         slots.end_epoch(epoch);
         let run = &self.hosts[host].run;
-        let mark = HoldOffRow::mark_key(&format!("host-{host}"), run, epoch);
+        let mark = HoldOffRow::marker_key(&format!("host-{host}"), run, epoch);
         let mark = RowId::new(HOLD_OFF_TABLE, "", mark);
         let mark = Transaction::default().write(mark, Vec::new());
         self.store.apply(&mark);
@@ -221,7 +222,7 @@
 
     /// A host is told to stop, and has not given up its slots yet.
     pub fn begin_stop(&mut self, host: usize) {
-        self.hosts[host].slots.stop_taking();
+        self.hosts[host].slots.stop_acquiring();
     }
 
     /// A host completes the slots that it took after a death.
@@ -271,7 +272,7 @@
             };
             if let Answer::Applied(version) = self.store.apply(&transaction) {
                 let slots = &mut self.hosts[host].slots;
-                slots.take_row(write.slot, version, write.row);
+                slots.observe_row(write.slot, version, write.row);
             }
         }
     }
@@ -301,7 +302,10 @@
             }
             self.write(host, writes);
         } else if self.hosts[host].settling.is_empty() {
-            let is_held_off = !self.hosts[host].slots.held_off_for(self.now).is_zero();
+            let is_held_off = !self.hosts[host]
+                .slots
+                .hold_off_remaining(self.now)
+                .is_zero();
             if !is_held_off {
                 self.hand_over(host);
             }
@@ -312,11 +316,11 @@
     /// A host reads the rows of slots that it said it takes over.
     fn read_accepted(&mut self, host: usize) {
         let slots = &mut self.hosts[host].slots;
-        slots.stop_taking();
+        slots.stop_acquiring();
         for slot in slots.accepted() {
             let row = RowId::new(TABLE, "", slot.key());
             if let Some((version, value)) = self.store.rows.get(&row) {
-                slots.take_row(slot, *version, SlotRow::decode(value).unwrap());
+                slots.observe_row(slot, *version, SlotRow::decode(value).unwrap());
             }
         }
     }
@@ -370,8 +374,8 @@
     fn ask(&mut self, host: usize, slot: &SlotId, ask: Ask) -> Option<Reply> {
         let run = self.hosts[host].run.clone();
         let to = match self.hosts[host].slots.owner(slot) {
-            Owner::Own => host,
-            Owner::Other(owner, address) => {
+            Owner::Local => host,
+            Owner::Remote(owner, address) => {
                 let is_there = self.hosts[address].run == owner;
                 let is_cut = self.hosts[host].is_cut || self.hosts[address].is_cut;
                 if !is_there || is_cut {
@@ -379,13 +383,13 @@
                 }
                 address
             }
-            Owner::Gone | Owner::Nobody => return None,
+            Owner::Absent | Owner::Unowned => return None,
         };
         Some(self.hosts[to].slots.answer(slot, &run, ask, self.now))
     }
 
     fn slots_of_program() -> Vec<SlotId> {
-        SlotId::of(&partition_of(PROGRAM)).collect()
+        SlotId::of_partition(&partition_of(PROGRAM)).collect()
     }
 
     /// A host begins a turn. Returns whether it may run, or may yet.
@@ -559,9 +563,9 @@
         let changes = &mut self.hosts[index].changes;
         changes.learn(PROGRAM, version, ledger);
         let holdings = changes.holdings(PROGRAM);
-        let mut answers = ClosingAnswers::default();
+        let mut answers = CloseReplies::default();
         for slot in Self::slots_of_program() {
-            let claim = self.hosts[index].slots.claim_now(&slot);
+            let claim = self.hosts[index].slots.claim_if_unowned(&slot);
             self.write(index, claim.into_iter().collect());
             let reply = self.ask(
                 index,
@@ -570,7 +574,7 @@
             );
             answers.add(slot.index, reply);
         }
-        turn.escrow = turn.escrow.with_answers(&answers);
+        turn.escrow = turn.escrow.with_close_replies(&answers);
         let runs: Vec<&String> = self.hosts.iter().map(|host| &host.run).collect();
         let gone = holdings.into_iter().map(|holding| holding.holder);
         let gone = gone.filter(|holder| !runs.contains(&holder)).collect();
--- a/coordination/tests/gateway_escrow.rs
+++ b/coordination/tests/gateway_escrow.rs
@@ -12,8 +12,8 @@
 use change_support::MOST;
 use escrow_world::World;
 use proptest::prelude::*;
-use rosebend_coordination::gateway::escrow::accounts::{Accounts, Closing, GrantRequest};
-use rosebend_coordination::gateway::escrow::hold_off::{DEMAND_TIME, HOLD_OFF};
+use rosebend_coordination::gateway::escrow::accounts::{Accounts, CloseOutcome, GrantRequest};
+use rosebend_coordination::gateway::escrow::hold_off::{DEMAND_WINDOW, HOLD_OFF};
 use rosebend_coordination::gateway::escrow::slot::SlotId;
 
 const HOSTS: usize = 4;
@@ -346,7 +346,7 @@
     world.spend(0);
     assert!(world.handed_out > MOST, "{}", world.handed_out);
     world.is_store_up = true;
-    world.now += DEMAND_TIME;
+    world.now += DEMAND_WINDOW;
     (0..HOSTS).for_each(|host| world.hold_off(host));
     (0..HOSTS).for_each(|host| world.kill(host));
     world.settle_down();
@@ -401,12 +401,12 @@
     };
     assert!(accounts.grant("p", &request("g", MOST)));
     assert!(accounts.grant("p", &request("g", MOST)), "asked again");
-    assert_eq!(accounts.close("p"), Closing::Outstanding(MOST));
+    assert_eq!(accounts.close("p"), CloseOutcome::Outstanding(MOST));
     assert!(!accounts.grant("p", &request("h", 1)));
     accounts.report("p", "g", 70);
-    assert_eq!(accounts.close("p"), Closing::Outstanding(70));
+    assert_eq!(accounts.close("p"), CloseOutcome::Outstanding(70));
     accounts.settle("p", "g");
-    assert_eq!(accounts.close("p"), Closing::Closed);
+    assert_eq!(accounts.close("p"), CloseOutcome::Closed);
     assert!(!accounts.grant("p", &request("i", 1)));
     assert!(accounts.grant("other", &request("j", MOST)));
 }
--- a/gateway/src/escrow.rs
+++ b/gateway/src/escrow.rs
@@ -107,7 +107,10 @@
             return;
         };
         match SlotRow::decode(value) {
-            Ok(decoded) => self.slots.borrow_mut().take_row(slot, row.version, decoded),
+            Ok(decoded) => self
+                .slots
+                .borrow_mut()
+                .observe_row(slot, row.version, decoded),
             Err(error) => log_event(&Event::new(EventKind::PeerRowUnusable).error(&error)),
         }
     }
@@ -124,7 +127,7 @@
 
     /// Slots whose owner is known here.
     pub fn owned_slots(&self) -> u64 {
-        self.slots.borrow().owned() as u64
+        self.slots.borrow().live_owner_count() as u64
     }
 
     /// Tokens that this host has granted and no ledger has.
@@ -138,7 +141,7 @@
 
     /// For how long this host grants nothing.
     pub fn held_off_for(&self, now: Duration) -> Duration {
-        self.slots.borrow().held_off_for(now)
+        self.slots.borrow().hold_off_remaining(now)
     }
 
     fn send(&self, to: SocketAddr, message: &Message) {
@@ -169,7 +172,7 @@
     async fn ask(&self, slot: &SlotId, ask: Ask, now: Duration) -> Option<Reply> {
         let owner = self.slots.borrow().owner(slot);
         match owner {
-            Owner::Own => {
+            Owner::Local => {
                 let reply = self
                     .slots
                     .borrow_mut()
@@ -177,8 +180,8 @@
                 self.note_reply(reply);
                 Some(reply)
             }
-            Owner::Other(run, address) => self.ask_run(&run, address, slot, ask).await,
-            Owner::Gone | Owner::Nobody => None,
+            Owner::Remote(run, address) => self.ask_run(&run, address, slot, ask).await,
+            Owner::Absent | Owner::Unowned => None,
         }
     }
 
@@ -218,17 +221,17 @@
     /// Whether a slot's owner was silent lately.
     fn is_avoided(&self, slot: &SlotId, now: Duration) -> bool {
         match self.slots.borrow().owner(slot) {
-            Owner::Other(run, _) => {
+            Owner::Remote(run, _) => {
                 let silent = self.silent.borrow();
                 silent.get(&run).is_some_and(|until| now < *until)
             }
-            Owner::Own => false,
-            Owner::Gone | Owner::Nobody => true,
+            Owner::Local => false,
+            Owner::Absent | Owner::Unowned => true,
         }
     }
 
     fn avoid(&self, slot: &SlotId, now: Duration) {
-        if let Owner::Other(run, _) = self.slots.borrow().owner(slot) {
+        if let Owner::Remote(run, _) = self.slots.borrow().owner(slot) {
             let mut silent = self.silent.borrow_mut();
             silent.retain(|_, until| now < *until);
             silent.insert(run, now + AVOIDANCE);
@@ -285,7 +288,7 @@
             log_event(&event.holders(&owners(&writes)));
             let mut slots = escrow.slots.borrow_mut();
             for write in writes {
-                slots.take_row(write.slot, version, write.row);
+                slots.observe_row(write.slot, version, write.row);
             }
             true
         }
--- a/gateway/src/escrow/giving_up.rs
+++ b/gateway/src/escrow/giving_up.rs
@@ -25,13 +25,13 @@
 /// next call.
 pub async fn release(gateway: &Gateway) {
     let escrow = &gateway.escrow;
-    escrow.slots.borrow_mut().stop_taking();
+    escrow.slots.borrow_mut().stop_acquiring();
     read_accepted(gateway).await;
     let fresh = escrow.give_up().await;
     escrow.unwritten.borrow_mut().extend(fresh);
     for _ in 0..MAX_WRITES {
         let writes = escrow.unwritten.borrow().clone();
-        let writes = escrow.slots.borrow().not_given_up(writes);
+        let writes = escrow.slots.borrow().unwritten_releases(writes);
         escrow.unwritten.replace(writes.clone());
         if writes.is_empty() || write(gateway, writes).await {
             escrow.unwritten.take();
@@ -42,7 +42,7 @@
 
 /// Takes no slot any more.
 pub fn begin(gateway: &Gateway) {
-    gateway.escrow.slots.borrow_mut().stop_taking();
+    gateway.escrow.slots.borrow_mut().stop_acquiring();
 }
 
 /// For how long this host's slots may not be left with others by messages: the next run on
@@ -55,7 +55,7 @@
 /// once this host holds off no more.
 pub async fn hand_over(gateway: &Gateway) {
     let escrow = &gateway.escrow;
-    escrow.slots.borrow_mut().stop_taking();
+    escrow.slots.borrow_mut().stop_acquiring();
     let mut writes = escrow.give_up().await;
     // Of those a row may be on its way: they go to whom it names.
     writes.extend(escrow.unwritten.take());
--- a/gateway/src/escrow/hold_off.rs
+++ b/gateway/src/escrow/hold_off.rs
@@ -71,7 +71,7 @@
         return;
     };
     let host = &gateway.settings().host;
-    let mark = HoldOffRow::mark_key(host, &gateway.escrow.own_run, epoch);
+    let mark = HoldOffRow::marker_key(host, &gateway.escrow.own_run, epoch);
     let mark = Transaction::default().write(RowId::new(TABLE, "", mark), Vec::new());
     let written = tokio::time::timeout(END_TIMEOUT, gateway.store.transact(&mark)).await;
     if matches!(written, Ok(Ok(Transacted::Applied(_)))) {
@@ -89,7 +89,11 @@
     // In this order: the time of the row must not be later than this host's own.
     let store_now = gateway.store.store_now()?;
     let now = gateway.clock.now();
-    let row = gateway.escrow.slots.borrow_mut().hold_off(now, store_now)?;
+    let row = gateway
+        .escrow
+        .slots
+        .borrow_mut()
+        .renew_hold_off(now, store_now)?;
     Some(RowWrite {
         row: row_id(gateway),
         value: row.encode(),
@@ -118,7 +122,7 @@
 async fn quiet_run(gateway: &Gateway) -> Option<Holder> {
     let id = row_id(gateway);
     let host = gateway.settings().host.clone();
-    let (from, to) = HoldOffRow::keys(&host);
+    let (from, to) = HoldOffRow::key_range(&host);
     let range = RowRange {
         table: id.table.clone(),
         partition: id.partition.clone(),
@@ -136,7 +140,7 @@
         // The process began before it asked, by all of its clock.
         let began_at = (rows.now? + CLOCK_STEP).saturating_sub(asked_at);
         let found = died_in_time(row, began_at)?;
-        let mark = HoldOffRow::mark_key(&host, &found.run, found.epoch);
+        let mark = HoldOffRow::marker_key(&host, &found.run, found.epoch);
         let has_ended = rows.rows.iter().any(|row| row.id.key == mark);
         log_found(&found.run, if has_ended { "ended" } else { "in-time" });
         return (!has_ended).then_some(found.run);
@@ -146,7 +150,7 @@
 /// What the last run said, if it died before the end of its hold-off.
 fn died_in_time(row: &Row, began_at: Duration) -> Option<HoldOffRow> {
     match HoldOffRow::decode(row.value.as_ref()?) {
-        Ok(row) if row.clone().died_in_time(began_at).is_some() => Some(row),
+        Ok(row) if row.clone().died_within_hold_off(began_at).is_some() => Some(row),
         Ok(row) => {
             log_found(&row.run, "too-late");
             None
@@ -169,8 +173,12 @@
     let Some(run) = quiet_run(gateway).await else {
         return;
     };
-    gateway.escrow.slots.borrow_mut().set_quiet_run(Some(run));
-    let (from, to) = SlotId::keys();
+    gateway
+        .escrow
+        .slots
+        .borrow_mut()
+        .set_clean_predecessor(Some(run));
+    let (from, to) = SlotId::key_range();
     let range = RowRange {
         table: peers::TABLE.to_owned(),
         partition: String::new(),
@@ -186,7 +194,7 @@
             gateway.escrow.take_row(slot, row);
         }
     }
-    let inherited = gateway.escrow.slots.borrow().inherit();
+    let inherited = gateway.escrow.slots.borrow().inheritance_claims();
     if !inherited.is_empty() && write(gateway, inherited).await {
         complete(gateway).await;
     }
--- a/gateway/src/escrow/turns.rs
+++ b/gateway/src/escrow/turns.rs
@@ -7,7 +7,7 @@
 use rosebend_coordination::gateway::escrow::accounts::GrantRequest;
 use rosebend_coordination::gateway::escrow::message::{Ask, ProgramAsk, Reply};
 use rosebend_coordination::gateway::escrow::slot::SlotId;
-use rosebend_coordination::gateway::escrow::terms::ClosingAnswers;
+use rosebend_coordination::gateway::escrow::terms::CloseReplies;
 use rosebend_coordination::gateway::escrow::{GrantId, first_grant_tokens};
 use rosebend_coordination::gateway::history::partition_of;
 use rosebend_coordination::gateway::pending_changes::Outcome;
@@ -85,7 +85,7 @@
     let escrow = &gateway.escrow;
     let tokens = first_grant_tokens(wanted.most_tokens);
     let mut denied = Denied::Refused;
-    for slot in SlotId::of(&partition_of(wanted.program)) {
+    for slot in SlotId::of_partition(&partition_of(wanted.program)) {
         let now = gateway.clock.now();
         if escrow.is_avoided(&slot, now) {
             continue;
@@ -180,10 +180,10 @@
 }
 
 /// Asks the owners of a program's slots to grant it nothing more.
-pub async fn close(gateway: &Gateway, program: &str) -> ClosingAnswers {
-    let slots: Vec<SlotId> = SlotId::of(&partition_of(program)).collect();
+pub async fn close(gateway: &Gateway, program: &str) -> CloseReplies {
+    let slots: Vec<SlotId> = SlotId::of_partition(&partition_of(program)).collect();
     let replies = join_all(slots.iter().map(|slot| close_slot(gateway, slot, program))).await;
-    let mut answers = ClosingAnswers::default();
+    let mut answers = CloseReplies::default();
     for (slot, reply) in slots.iter().zip(replies) {
         answers.add(slot.index, reply);
     }
@@ -192,7 +192,7 @@
 
 async fn close_slot(gateway: &Gateway, slot: &SlotId, program: &str) -> Option<Reply> {
     let escrow = &gateway.escrow;
-    let claim = escrow.slots.borrow().claim_now(slot);
+    let claim = escrow.slots.borrow().claim_if_unowned(slot);
     if let Some(claim) = claim {
         write(gateway, vec![claim]).await;
     }
--- a/gateway/src/spending/full_budget.rs
+++ b/gateway/src/spending/full_budget.rs
@@ -88,7 +88,7 @@
             return false;
         }
         let answers = escrow::close(&self.gateway, &self.program).await;
-        self.escrow = std::mem::take(&mut self.escrow).with_answers(&answers);
+        self.escrow = std::mem::take(&mut self.escrow).with_close_replies(&answers);
         answers.is_settling
     }
 
