--- a/coordination/tests/escrow_world/mod.rs
+++ b/coordination/tests/escrow_sim/mod.rs
@@ -1,4 +1,5 @@
-//! Hosts of one program's turns, with a store that may be unavailable.
+//! Simulation of hosts that serve the turns of one program, with a store that may be
+//! unavailable.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -18,112 +19,112 @@
 
 use crate::change_support::{MOST, PROGRAM, Store, settle};
 
-/// Table of the slots' rows.
+/// Table of the slot rows.
 const TABLE: &str = "gateways";
-/// Table of the rows by which owners hold off.
+/// Table of the hold-off rows and their end markers.
 const HOLD_OFF_TABLE: &str = "escrow";
 
-/// What a turn runs by.
+/// Permit by which a turn may emit tokens.
 #[derive(Clone, Debug)]
-enum Right {
-    /// A reservation that is not durable yet, by the number of its change.
-    Reserving(u64),
+enum Permit {
+    /// A reservation that is not durable yet, with the number of its change.
+    Pending(u64),
     /// A reservation in the ledger.
     Reserved,
-    /// A grant of a slot's owner: its name and its tokens.
+    /// A grant of a slot's owner: the slot, the identifier of the grant and its tokens.
     Granted(SlotId, String, u64),
 }
 
 #[derive(Clone, Debug)]
 struct Turn {
     attempt: String,
-    right: Right,
+    permit: Permit,
     tokens: u64,
     escrow: EscrowTerms,
-    has_recalled: bool,
+    has_retried: bool,
 }
 
-/// A settlement on its way, and the grant that it settles.
+/// A settlement that is not durable yet, and the grant that it settles.
 #[derive(Clone, Debug)]
-struct Settling {
+struct PendingSettlement {
     change: u64,
     grant: Option<(SlotId, String)>,
 }
 
 pub struct Host {
-    pub run: String,
+    pub process: String,
     changes: PendingChanges,
     slots: Slots<usize>,
     turns: VecDeque<Turn>,
-    settling: Vec<Settling>,
-    late: Vec<Transaction>,
-    /// When its process began.
-    began_at: Duration,
-    /// Whether it has read what the run before it had said of its hold-off.
-    knows_last_run: bool,
-    /// Whether messages from and to it are lost.
-    pub is_cut: bool,
+    settlements: Vec<PendingSettlement>,
+    late_transactions: Vec<Transaction>,
+    /// Start time of the process.
+    started_at: Duration,
+    /// Whether the process has read the hold-off row of its predecessor.
+    has_read_predecessor: bool,
+    /// Whether messages between this host and other hosts are lost.
+    pub is_isolated: bool,
 }
 
 impl Host {
-    fn new(index: usize, run: usize, now: Duration) -> Self {
-        let run = format!("host-{index}/{run}");
+    fn new(index: usize, process: usize, now: Duration) -> Self {
+        let process = format!("host-{index}/{process}");
         Self {
-            changes: PendingChanges::new(run.clone()),
-            slots: Slots::new(run.clone()),
-            run,
+            changes: PendingChanges::new(process.clone()),
+            slots: Slots::new(process.clone()),
+            process,
             turns: VecDeque::new(),
-            settling: Vec::new(),
-            late: Vec::new(),
-            began_at: now,
-            knows_last_run: false,
-            is_cut: false,
+            settlements: Vec::new(),
+            late_transactions: Vec::new(),
+            started_at: now,
+            has_read_predecessor: false,
+            is_isolated: false,
         }
     }
 }
 
-/// The hosts, the store, and what callers have seen.
-pub struct World {
+/// The hosts, the store, and the tokens that callers have received.
+pub struct Simulation {
     store: Store,
     pub is_store_up: bool,
     pub hosts: Vec<Host>,
     pub budget: u64,
-    pub handed_out: u64,
+    pub emitted_tokens: u64,
     pub now: Duration,
-    turns: usize,
-    runs: usize,
+    started_turns: usize,
+    started_processes: usize,
 }
 
-impl World {
-    /// Hosts that know each other and share the slots.
+impl Simulation {
+    /// Creates hosts that know each other and own all slots between them.
     pub fn new(hosts: usize, budget: u64) -> Self {
-        let mut world = Self {
+        let mut simulation = Self {
             store: Store::default(),
             is_store_up: true,
             hosts: (0..hosts)
                 .map(|index| Host::new(index, index, Duration::ZERO))
                 .collect(),
             budget,
-            handed_out: 0,
+            emitted_tokens: 0,
             now: Duration::from_secs(1),
-            turns: 0,
-            runs: hosts,
+            started_turns: 0,
+            started_processes: hosts,
         };
         for host in 0..hosts {
-            world.learn(host);
+            simulation.read_tables(host);
         }
-        world.now += Duration::from_secs(10);
+        simulation.now += Duration::from_secs(10);
         for host in 0..hosts {
-            world.claim(host);
+            simulation.claim_slots(host);
         }
         for host in 0..hosts {
-            world.learn(host);
+            simulation.read_tables(host);
         }
-        world
+        simulation
     }
 
-    /// A host reads the table of hosts and slots.
-    pub fn learn(&mut self, host: usize) {
+    /// Lets a host read the tables of hosts and slots.
+    pub fn read_tables(&mut self, host: usize) {
         if !self.is_store_up {
             return;
         }
@@ -133,7 +134,7 @@
             .enumerate()
             .map(|(index, host)| Candidate {
                 host: format!("host-{index}"),
-                run: host.run.clone(),
+                run: host.process.clone(),
                 address: index,
                 processor_milli: 500,
             });
@@ -148,11 +149,11 @@
         }
     }
 
-    /// A host takes the slots that it should own.
-    pub fn claim(&mut self, host: usize) {
+    /// Lets a host claim the slots that it should own.
+    pub fn claim_slots(&mut self, host: usize) {
         if self.is_store_up {
             let now = self.now;
-            self.learn_last_run(host);
+            self.read_predecessor(host);
             let claims = self.hosts[host].slots.claims(now);
             self.write(host, claims);
         }
@@ -163,25 +164,25 @@
         RowId::new(HOLD_OFF_TABLE, "", key)
     }
 
-    fn learn_last_run(&mut self, index: usize) {
+    fn read_predecessor(&mut self, index: usize) {
         let host = &mut self.hosts[index];
-        if host.knows_last_run {
+        if host.has_read_predecessor {
             return;
         }
-        host.knows_last_run = true;
+        host.has_read_predecessor = true;
         if let Some((_, value)) = self.store.rows.get(&Self::hold_off_row(index)) {
             let row = HoldOffRow::decode(value).unwrap();
-            let mark = HoldOffRow::marker_key(&format!("host-{index}"), &row.run, row.epoch);
-            let mark = RowId::new(HOLD_OFF_TABLE, "", mark);
-            if !self.store.rows.contains_key(&mark) {
+            let marker = HoldOffRow::marker_key(&format!("host-{index}"), &row.run, row.epoch);
+            let marker = RowId::new(HOLD_OFF_TABLE, "", marker);
+            if !self.store.rows.contains_key(&marker) {
                 host.slots
-                    .set_clean_predecessor(row.died_within_hold_off(host.began_at));
+                    .set_clean_predecessor(row.died_within_hold_off(host.started_at));
             }
         }
     }
 
-    /// A host says that it holds off, if it may.
-    pub fn hold_off(&mut self, host: usize) {
+    /// Lets a host start or renew its hold-off, if it may.
+    pub fn renew_hold_off(&mut self, host: usize) {
         let now = self.now;
         if !self.is_store_up || !self.hosts[host].slots.is_owner() {
             return;
@@ -198,35 +199,36 @@
         }
     }
 
-    /// A host ends its hold-off if a turn wants a grant.
+    /// Lets a host end its hold-off if a grant was requested.
     pub fn end_hold_off(&mut self, host: usize) {
         let slots = &mut self.hosts[host].slots;
         let Some(epoch) = slots.epoch_to_end(self.now).filter(|_| self.is_store_up) else {
             return;
         };
         slots.end_epoch(epoch);
-        let run = &self.hosts[host].run;
-        let mark = HoldOffRow::marker_key(&format!("host-{host}"), run, epoch);
-        let mark = RowId::new(HOLD_OFF_TABLE, "", mark);
-        let mark = Transaction::default().write(mark, Vec::new());
-        self.store.apply(&mark);
+        let process = &self.hosts[host].process;
+        let marker = HoldOffRow::marker_key(&format!("host-{host}"), process, epoch);
+        let marker = RowId::new(HOLD_OFF_TABLE, "", marker);
+        let marker = Transaction::default().write(marker, Vec::new());
+        self.store.apply(&marker);
     }
 
-    /// A turn at a host that is cut off from the store wants a grant.
-    pub fn want(&mut self, host: usize) -> bool {
+    /// Serves a turn on a host that is disconnected from the store, so that the turn
+    /// needs a grant. Returns whether it was served.
+    pub fn request_offline_grant(&mut self, host: usize) -> bool {
         let is_store_up = std::mem::replace(&mut self.is_store_up, false);
-        let is_served = self.serve(host);
+        let is_served = self.serve_turn(host);
         self.is_store_up = is_store_up;
         is_served
     }
 
-    /// A host is told to stop, and has not given up its slots yet.
-    pub fn begin_stop(&mut self, host: usize) {
+    /// Signals a host to stop. The host does not release its slots yet.
+    pub fn start_stopping(&mut self, host: usize) {
         self.hosts[host].slots.stop_acquiring();
     }
 
-    /// A host completes the slots that it took after a death.
-    pub fn complete(&mut self, host: usize) {
+    /// Lets a host complete the slots that it took over after a death.
+    pub fn complete_slots(&mut self, host: usize) {
         if !self.is_store_up {
             return;
         }
@@ -244,15 +246,16 @@
         }
     }
 
-    /// All hosts learn what the others have written, and take and complete slots.
-    pub fn settle_down(&mut self) {
+    /// Lets all hosts read the tables, claim slots and complete them, and read the
+    /// tables again.
+    pub fn converge(&mut self) {
         for host in 0..self.hosts.len() {
-            self.learn(host);
-            self.claim(host);
-            self.complete(host);
+            self.read_tables(host);
+            self.claim_slots(host);
+            self.complete_slots(host);
         }
         for host in 0..self.hosts.len() {
-            self.learn(host);
+            self.read_tables(host);
         }
     }
 
@@ -277,20 +280,20 @@
         }
     }
 
-    /// A host's process is killed; another one takes its place.
+    /// Kills a host's process and starts another one in its place.
     pub fn kill(&mut self, host: usize) {
-        let late = std::mem::take(&mut self.hosts[host].late);
-        self.hosts[host] = Host::new(host, self.runs, self.now);
-        self.hosts[host].late = late;
-        self.runs += 1;
-        self.learn(host);
+        let late_transactions = std::mem::take(&mut self.hosts[host].late_transactions);
+        self.hosts[host] = Host::new(host, self.started_processes, self.now);
+        self.hosts[host].late_transactions = late_transactions;
+        self.started_processes += 1;
+        self.read_tables(host);
     }
 
-    /// A host stops as planned, after its turns have ended; another process takes
-    /// its place.
+    /// Stops a host as planned after its turns have ended, and starts another process
+    /// in its place.
     pub fn stop(&mut self, host: usize) {
         while !self.hosts[host].turns.is_empty() {
-            self.end(host);
+            self.end_turn(host);
         }
         if self.is_store_up {
             self.flush(host);
@@ -298,10 +301,10 @@
             let mut writes = self.hosts[host].slots.release();
             for write in &mut writes {
                 let successor = self.successor(host, &write.slot);
-                write.row.owner = successor.map(|to| self.hosts[to].run.clone());
+                write.row.owner = successor.map(|to| self.hosts[to].process.clone());
             }
             self.write(host, writes);
-        } else if self.hosts[host].settling.is_empty() {
+        } else if self.hosts[host].settlements.is_empty() {
             let is_held_off = !self.hosts[host]
                 .slots
                 .hold_off_remaining(self.now)
@@ -313,7 +316,7 @@
         self.kill(host);
     }
 
-    /// A host reads the rows of slots that it said it takes over.
+    /// Lets a host read the rows of the slots that it has agreed to take over.
     fn read_accepted(&mut self, host: usize) {
         let slots = &mut self.hosts[host].slots;
         slots.stop_acquiring();
@@ -325,14 +328,14 @@
         }
     }
 
-    /// The first host that says that it takes a slot over.
+    /// Returns the first host that agrees to take over a slot.
     fn successor(&mut self, host: usize, slot: &SlotId) -> Option<usize> {
-        let from = self.hosts[host].run.clone();
+        let from = self.hosts[host].process.clone();
         for successor in self.hosts[host].slots.successors(slot) {
             let to = successor.address;
-            let is_there = self.hosts[to].run == successor.run;
-            let is_cut = self.hosts[to].is_cut || self.hosts[host].is_cut;
-            if is_there && !is_cut {
+            let is_running = self.hosts[to].process == successor.run;
+            let is_isolated = self.hosts[to].is_isolated || self.hosts[host].is_isolated;
+            if is_running && !is_isolated {
                 let reply = self.hosts[to]
                     .slots
                     .answer(slot, &from, Ask::Accept, self.now);
@@ -345,7 +348,7 @@
     }
 
     fn hand_over(&mut self, host: usize) {
-        let from = self.hosts[host].run.clone();
+        let from = self.hosts[host].process.clone();
         let writes = self.hosts[host].slots.release().into_iter();
         for write in writes.filter(|write| !write.row.has_unread_closings) {
             let Some(to) = self.successor(host, &write.slot) else {
@@ -358,10 +361,10 @@
             let now = self.now;
             let reply = self.hosts[to].slots.answer(&write.slot, &from, ask, now);
             if reply == Reply::Noted {
-                let owner = self.hosts[to].run.clone();
+                let owner = self.hosts[to].process.clone();
                 for other in (0..self.hosts.len()).filter(|other| *other != to) {
                     let moved = Ask::Moved(from.clone());
-                    if !self.hosts[other].is_cut {
+                    if !self.hosts[other].is_isolated {
                         let slots = &mut self.hosts[other].slots;
                         slots.answer(&write.slot, &owner, moved, now);
                     }
@@ -370,45 +373,47 @@
         }
     }
 
-    /// A host asks a slot's owner.
+    /// Sends a request to a slot's owner and returns the reply; `None` if there is no
+    /// owner that is running and connected.
     fn ask(&mut self, host: usize, slot: &SlotId, ask: Ask) -> Option<Reply> {
-        let run = self.hosts[host].run.clone();
+        let process = self.hosts[host].process.clone();
         let to = match self.hosts[host].slots.owner(slot) {
             Owner::Local => host,
             Owner::Remote(owner, address) => {
-                let is_there = self.hosts[address].run == owner;
-                let is_cut = self.hosts[host].is_cut || self.hosts[address].is_cut;
-                if !is_there || is_cut {
+                let is_running = self.hosts[address].process == owner;
+                let is_isolated = self.hosts[host].is_isolated || self.hosts[address].is_isolated;
+                if !is_running || is_isolated {
                     return None;
                 }
                 address
             }
             Owner::Absent | Owner::Unowned => return None,
         };
-        Some(self.hosts[to].slots.answer(slot, &run, ask, self.now))
+        Some(self.hosts[to].slots.answer(slot, &process, ask, self.now))
     }
 
     fn slots_of_program() -> Vec<SlotId> {
         SlotId::of_partition(&partition_of(PROGRAM)).collect()
     }
 
-    /// A host begins a turn. Returns whether it may run, or may yet.
-    pub fn begin(&mut self, host: usize) -> bool {
-        self.turns += 1;
-        let attempt = format!("t{}", self.turns);
+    /// Starts a turn on a host. Returns whether the turn has a grant or a reservation
+    /// that may become durable.
+    pub fn start_turn(&mut self, host: usize) -> bool {
+        self.started_turns += 1;
+        let attempt = format!("t{}", self.started_turns);
         let escrow = EscrowTerms::new(true, MOST, self.budget);
         let mut turn = Turn {
             attempt,
-            right: Right::Reserved,
+            permit: Permit::Reserved,
             tokens: 0,
             escrow,
-            has_recalled: false,
+            has_retried: false,
         };
         if self.is_store_up {
-            turn.right = Right::Reserving(self.reserve(host, &turn, Vec::new()));
+            turn.permit = Permit::Pending(self.reserve(host, &turn, Vec::new()));
         } else {
-            match self.grant(host, &turn.attempt) {
-                Some(right) => turn.right = right,
+            match self.request_grant(host, &turn.attempt) {
+                Some(permit) => turn.permit = permit,
                 None => return false,
             }
         }
@@ -428,7 +433,7 @@
         changes.submit(PROGRAM.to_owned(), change)
     }
 
-    fn request(&self, grant: &str, tokens: u64) -> Ask {
+    fn grant_request(&self, grant: &str, tokens: u64) -> Ask {
         let request = GrantRequest {
             grant: grant.to_owned(),
             tokens,
@@ -438,54 +443,54 @@
         Ask::Program(PROGRAM.to_owned(), ProgramAsk::Grant(request))
     }
 
-    fn grant(&mut self, host: usize, attempt: &str) -> Option<Right> {
+    fn request_grant(&mut self, host: usize, attempt: &str) -> Option<Permit> {
         let tokens = first_grant_tokens(MOST);
         for slot in Self::slots_of_program() {
             let grant = format!("g-{attempt}-{}", slot.index);
-            let request = self.request(&grant, tokens);
+            let request = self.grant_request(&grant, tokens);
             if self.ask(host, &slot, request) == Some(Reply::Granted) {
-                return Some(Right::Granted(slot, grant, tokens));
+                return Some(Permit::Granted(slot, grant, tokens));
             }
         }
         None
     }
 
-    /// The host's oldest turn hands out tokens, if it may.
-    pub fn hand_out(&mut self, host: usize, tokens: u64) -> bool {
+    /// Lets the host's oldest turn emit tokens. Returns whether it was allowed to.
+    pub fn emit_tokens(&mut self, host: usize, tokens: u64) -> bool {
         let Some(turn) = self.hosts[host].turns.front().cloned() else {
             return false;
         };
-        let wanted = turn.tokens + tokens;
-        if wanted > MOST {
+        let total_tokens = turn.tokens + tokens;
+        if total_tokens > MOST {
             return false;
         }
-        let right = match turn.right {
-            Right::Reserving(_) => return false,
-            Right::Reserved => Right::Reserved,
-            Right::Granted(slot, grant, held) => {
-                let held = held.max(wanted);
-                let request = self.request(&grant, held);
+        let permit = match turn.permit {
+            Permit::Pending(_) => return false,
+            Permit::Reserved => Permit::Reserved,
+            Permit::Granted(slot, grant, granted_tokens) => {
+                let granted_tokens = granted_tokens.max(total_tokens);
+                let request = self.grant_request(&grant, granted_tokens);
                 if self.ask(host, &slot, request) != Some(Reply::Granted) {
                     return false;
                 }
-                Right::Granted(slot, grant, held)
+                Permit::Granted(slot, grant, granted_tokens)
             }
         };
         let turn = self.hosts[host].turns.front_mut().unwrap();
-        turn.right = right;
-        turn.tokens = wanted;
-        self.handed_out += tokens;
+        turn.permit = permit;
+        turn.tokens = total_tokens;
+        self.emitted_tokens += tokens;
         true
     }
 
-    /// The host's oldest turn ends.
-    pub fn end(&mut self, host: usize) {
+    /// Ends the host's oldest turn.
+    pub fn end_turn(&mut self, host: usize) {
         let Some(turn) = self.hosts[host].turns.pop_front() else {
             return;
         };
-        let (change, grant) = match turn.right {
-            Right::Reserving(_) | Right::Reserved => (settle(&turn.attempt, turn.tokens), None),
-            Right::Granted(slot, grant, _) => {
+        let (change, grant) = match turn.permit {
+            Permit::Pending(_) | Permit::Reserved => (settle(&turn.attempt, turn.tokens), None),
+            Permit::Granted(slot, grant, _) => {
                 let report = ProgramAsk::Report(grant.clone(), turn.tokens);
                 self.ask(host, &slot, Ask::Program(PROGRAM.to_owned(), report));
                 let change = Change::SettleGrant {
@@ -498,12 +503,13 @@
         };
         let host = &mut self.hosts[host];
         let change = host.changes.submit(PROGRAM.to_owned(), change);
-        host.settling.push(Settling { change, grant });
+        host.settlements.push(PendingSettlement { change, grant });
     }
 
-    /// A host's transaction goes to the store; its answer may be lost.
+    /// Sends a host's next transaction to the store. The answer is lost unless
+    /// `is_answered` is set.
     pub fn send(&mut self, index: usize, is_answered: bool) {
-        let (transaction, mut ended) = self.hosts[index].changes.next_transaction();
+        let (transaction, mut completed) = self.hosts[index].changes.next_transaction();
         if let Some(transaction) = transaction {
             let answer = match self.is_store_up {
                 true => self.store.apply(&transaction),
@@ -511,54 +517,56 @@
             };
             let host = &mut self.hosts[index];
             if !self.is_store_up {
-                host.late.push(transaction);
+                host.late_transactions.push(transaction);
             }
-            let seen = if is_answered {
+            let received = if is_answered {
                 answer
             } else {
                 Answer::NotKnown
             };
-            ended.extend(host.changes.answered(seen));
+            completed.extend(host.changes.answered(received));
         }
-        for (id, outcome) in ended {
-            self.ended(index, id, outcome);
+        for (id, outcome) in completed {
+            self.complete_change(index, id, outcome);
         }
     }
 
-    /// A transaction that had no answer takes effect after all.
-    pub fn arrive_late(&mut self, host: usize) {
-        if let Some(late) = self.hosts[host].late.pop() {
-            self.store.apply(&late);
+    /// Applies a transaction that was sent during an outage and had no answer.
+    pub fn deliver_late(&mut self, host: usize) {
+        if let Some(late_transaction) = self.hosts[host].late_transactions.pop() {
+            self.store.apply(&late_transaction);
         }
     }
 
-    fn ended(&mut self, index: usize, id: u64, outcome: Outcome) {
+    fn complete_change(&mut self, index: usize, id: u64, outcome: Outcome) {
         let host = &mut self.hosts[index];
-        if let Some(position) = host.settling.iter().position(|it| it.change == id) {
-            if let Some((slot, grant)) = host.settling.remove(position).grant {
+        if let Some(position) = host.settlements.iter().position(|it| it.change == id) {
+            if let Some((slot, grant)) = host.settlements.remove(position).grant {
                 let settle = ProgramAsk::Settle(grant);
                 self.ask(index, &slot, Ask::Program(PROGRAM.to_owned(), settle));
             }
             return;
         }
-        let is_it = |turn: &Turn| matches!(turn.right, Right::Reserving(change) if change == id);
-        let Some(position) = host.turns.iter().position(is_it) else {
+        let is_match = |turn: &Turn| matches!(turn.permit, Permit::Pending(change) if change == id);
+        let Some(position) = host.turns.iter().position(is_match) else {
             return;
         };
         match outcome {
-            Outcome::Durable => host.turns[position].right = Right::Reserved,
-            Outcome::Exhausted => self.recall(index, position),
+            Outcome::Durable => host.turns[position].permit = Permit::Reserved,
+            Outcome::Exhausted => self.retry_exhausted(index, position),
             Outcome::Unreadable => panic!("the ledger is always readable"),
         }
     }
 
-    /// A turn that the ledger does not hold asks owners and holders, once.
-    fn recall(&mut self, index: usize, position: usize) {
+    /// Retries a reservation that did not fit into the budget, once per turn, after it
+    /// has asked the slots' owners to close them and has looked for reservations of
+    /// dead hosts.
+    fn retry_exhausted(&mut self, index: usize, position: usize) {
         let mut turn = self.hosts[index].turns.remove(position).unwrap();
-        if turn.has_recalled || !self.is_store_up {
+        if turn.has_retried || !self.is_store_up {
             return;
         }
-        turn.has_recalled = true;
+        turn.has_retried = true;
         let (version, ledger) = (self.store.ledger_version(), self.store.ledger());
         let changes = &mut self.hosts[index].changes;
         changes.learn(PROGRAM, version, ledger);
@@ -575,57 +583,59 @@
             answers.add(slot.index, reply);
         }
         turn.escrow = turn.escrow.with_close_replies(&answers);
-        let runs: Vec<&String> = self.hosts.iter().map(|host| &host.run).collect();
+        let processes: Vec<&String> = self.hosts.iter().map(|host| &host.process).collect();
         let gone = holdings.into_iter().map(|holding| holding.holder);
-        let gone = gone.filter(|holder| !runs.contains(&holder)).collect();
-        turn.right = Right::Reserving(self.reserve(index, &turn, gone));
+        let gone = gone.filter(|holder| !processes.contains(&holder)).collect();
+        turn.permit = Permit::Pending(self.reserve(index, &turn, gone));
         self.hosts[index].turns.insert(position, turn);
     }
 
-    /// Sends until nothing waits, as far as the store is there.
+    /// Sends transactions until no change is pending or the store is unavailable.
     pub fn flush(&mut self, host: usize) {
         while self.is_store_up && self.hosts[host].changes.open_changes() > 0 {
             self.send(host, true);
         }
     }
 
-    /// Serves a whole turn of a quarter of its most at a host.
-    pub fn serve(&mut self, host: usize) -> bool {
-        if !self.begin(host) {
+    /// Serves a whole turn on a host that emits a quarter of its maximum. Returns
+    /// whether the turn emitted tokens.
+    pub fn serve_turn(&mut self, host: usize) -> bool {
+        if !self.start_turn(host) {
             return false;
         }
         self.flush(host);
         let tokens = MOST / 4;
-        let is_served = self.hand_out(host, tokens);
-        self.end(host);
+        let is_served = self.emit_tokens(host, tokens);
+        self.end_turn(host);
         self.flush(host);
         is_served
     }
 
-    /// Serves turns of their most at a host, as long as it may.
-    pub fn spend(&mut self, host: usize) {
+    /// Serves turns on a host, each of which emits as much as it may, until one emits
+    /// nothing.
+    pub fn spend_all(&mut self, host: usize) {
         loop {
-            let before = self.handed_out;
-            if !self.begin(host) {
+            let before = self.emitted_tokens;
+            if !self.start_turn(host) {
                 return;
             }
             self.flush(host);
-            while self.hand_out(host, MOST / 4) {}
-            self.end(host);
+            while self.emit_tokens(host, MOST / 4) {}
+            self.end_turn(host);
             self.flush(host);
-            if self.handed_out == before {
+            if self.emitted_tokens == before {
                 return;
             }
         }
     }
 
-    /// The program's ledger in the store.
+    /// Returns the program's ledger in the store.
     pub fn ledger(&self) -> Ledger {
         self.store.ledger()
     }
 
-    /// Tokens that the ledger has as spent.
-    pub fn spent(&self) -> u64 {
+    /// Returns the tokens that the ledger counts as spent.
+    pub fn spent_in_ledger(&self) -> u64 {
         self.store.ledger().account().spent_tokens
     }
 }
--- a/coordination/tests/gateway_escrow.rs
+++ b/coordination/tests/gateway_escrow.rs
@@ -1,16 +1,16 @@
-//! Budgets while the store is unavailable.
+//! Tests of budgets while the store is unavailable.
 //!
-//! The load: programs whose turns need nothing of the store but their budget, in
-//! outages of the whole store, with hosts that are killed, stopped and cut off
-//! meanwhile.
+//! The turns of the simulated program need nothing from the store but their budget. The
+//! whole store has outages, during which hosts are also killed, stopped and isolated
+//! from each other.
 
 mod change_support;
-mod escrow_world;
+mod escrow_sim;
 
 use std::time::Duration;
 
 use change_support::MOST;
-use escrow_world::World;
+use escrow_sim::Simulation;
 use proptest::prelude::*;
 use rosebend_coordination::gateway::escrow::accounts::{Accounts, CloseOutcome, GrantRequest};
 use rosebend_coordination::gateway::escrow::hold_off::{DEMAND_WINDOW, HOLD_OFF};
@@ -18,83 +18,84 @@
 
 const HOSTS: usize = 4;
 
-/// What may happen next in a random run.
+/// Step of a random simulation.
 #[derive(Clone, Debug)]
 enum Step {
-    Begin(usize),
-    HandOut(usize, u64),
-    /// A host serves whole turns, as long as it may.
-    Spend(usize),
-    End(usize),
+    StartTurn(usize),
+    EmitTokens(usize, u64),
+    /// Serves whole turns on a host until the program may not spend more.
+    SpendAll(usize),
+    EndTurn(usize),
     Send(usize),
-    SendAndLose(usize),
-    ArriveLate(usize),
-    Learn(usize),
-    Claim(usize),
-    HoldOff(usize),
+    SendAndLoseAnswer(usize),
+    DeliverLate(usize),
+    ReadTables(usize),
+    ClaimSlots(usize),
+    RenewHoldOff(usize),
     EndHoldOff(usize),
-    Want(usize),
-    Complete(usize),
+    RequestOfflineGrant(usize),
+    CompleteSlots(usize),
     Kill(usize),
     KillAll,
     Stop(usize),
-    Cut(usize, bool),
-    Store(bool),
-    Wait(u64),
+    SetIsolated(usize, bool),
+    SetStoreUp(bool),
+    AdvanceClock(u64),
 }
 
 fn step() -> impl Strategy<Value = Step> {
     let host = 0..HOSTS;
     prop_oneof![
-        6 => host.clone().prop_map(Step::Begin),
-        8 => (host.clone(), 1..=MOST / 2).prop_map(|(host, tokens)| Step::HandOut(host, tokens)),
-        3 => host.clone().prop_map(Step::Spend),
-        4 => host.clone().prop_map(Step::End),
+        6 => host.clone().prop_map(Step::StartTurn),
+        8 => (host.clone(), 1..=MOST / 2).prop_map(|(host, tokens)| Step::EmitTokens(host, tokens)),
+        3 => host.clone().prop_map(Step::SpendAll),
+        4 => host.clone().prop_map(Step::EndTurn),
         6 => host.clone().prop_map(Step::Send),
-        2 => host.clone().prop_map(Step::SendAndLose),
-        1 => host.clone().prop_map(Step::ArriveLate),
-        2 => host.clone().prop_map(Step::Learn),
-        2 => host.clone().prop_map(Step::Claim),
-        3 => host.clone().prop_map(Step::HoldOff),
-        2 => host.clone().prop_map(Step::Complete),
+        2 => host.clone().prop_map(Step::SendAndLoseAnswer),
+        1 => host.clone().prop_map(Step::DeliverLate),
+        2 => host.clone().prop_map(Step::ReadTables),
+        2 => host.clone().prop_map(Step::ClaimSlots),
+        3 => host.clone().prop_map(Step::RenewHoldOff),
+        2 => host.clone().prop_map(Step::CompleteSlots),
         2 => host.clone().prop_map(Step::EndHoldOff),
-        2 => host.clone().prop_map(Step::Want),
+        2 => host.clone().prop_map(Step::RequestOfflineGrant),
         1 => host.clone().prop_map(Step::Kill),
         1 => Just(Step::KillAll),
         1 => host.clone().prop_map(Step::Stop),
-        1 => (host, any::<bool>()).prop_map(|(host, is_cut)| Step::Cut(host, is_cut)),
-        3 => any::<bool>().prop_map(Step::Store),
-        1 => (0..2_000_u64).prop_map(Step::Wait),
+        1 => (host, any::<bool>())
+            .prop_map(|(host, is_isolated)| Step::SetIsolated(host, is_isolated)),
+        3 => any::<bool>().prop_map(Step::SetStoreUp),
+        1 => (0..2_000_u64).prop_map(Step::AdvanceClock),
     ]
 }
 
-fn play(world: &mut World, step: &Step) {
+fn apply_step(simulation: &mut Simulation, step: &Step) {
     match *step {
-        Step::Begin(host) => {
-            world.begin(host);
+        Step::StartTurn(host) => {
+            simulation.start_turn(host);
         }
-        Step::HandOut(host, tokens) => {
-            world.hand_out(host, tokens);
+        Step::EmitTokens(host, tokens) => {
+            simulation.emit_tokens(host, tokens);
         }
-        Step::Spend(host) => world.spend(host),
-        Step::End(host) => world.end(host),
-        Step::Send(host) => world.send(host, true),
-        Step::SendAndLose(host) => world.send(host, false),
-        Step::ArriveLate(host) => world.arrive_late(host),
-        Step::Learn(host) => world.learn(host),
-        Step::Claim(host) => world.claim(host),
-        Step::HoldOff(host) => world.hold_off(host),
-        Step::Complete(host) => world.complete(host),
-        Step::EndHoldOff(host) => world.end_hold_off(host),
-        Step::Want(host) => {
-            world.want(host);
+        Step::SpendAll(host) => simulation.spend_all(host),
+        Step::EndTurn(host) => simulation.end_turn(host),
+        Step::Send(host) => simulation.send(host, true),
+        Step::SendAndLoseAnswer(host) => simulation.send(host, false),
+        Step::DeliverLate(host) => simulation.deliver_late(host),
+        Step::ReadTables(host) => simulation.read_tables(host),
+        Step::ClaimSlots(host) => simulation.claim_slots(host),
+        Step::RenewHoldOff(host) => simulation.renew_hold_off(host),
+        Step::CompleteSlots(host) => simulation.complete_slots(host),
+        Step::EndHoldOff(host) => simulation.end_hold_off(host),
+        Step::RequestOfflineGrant(host) => {
+            simulation.request_offline_grant(host);
         }
-        Step::Kill(host) => world.kill(host),
-        Step::KillAll => (0..HOSTS).for_each(|host| world.kill(host)),
-        Step::Stop(host) => world.stop(host),
-        Step::Cut(host, is_cut) => world.hosts[host].is_cut = is_cut,
-        Step::Store(is_up) => world.is_store_up = is_up,
-        Step::Wait(ms) => world.now += Duration::from_millis(ms),
+        Step::Kill(host) => simulation.kill(host),
+        Step::KillAll => (0..HOSTS).for_each(|host| simulation.kill(host)),
+        Step::Stop(host) => simulation.stop(host),
+        Step::SetIsolated(host, is_isolated) => simulation.hosts[host].is_isolated = is_isolated,
+        Step::SetStoreUp(is_up) => simulation.is_store_up = is_up,
+        Step::AdvanceClock(ms) => simulation.now += Duration::from_millis(ms),
     }
 }
 
@@ -102,51 +103,51 @@
     #![proptest_config(ProptestConfig::with_cases(800))]
 
     #[test]
-    fn no_outage_or_crash_overspends_more_than_one_turn_s_most(
+    fn outages_and_crashes_overspend_at_most_one_turn(
         budget in MOST..9 * MOST,
         steps in prop::collection::vec(step(), 1..160),
     ) {
-        let mut world = World::new(HOSTS, budget);
+        let mut simulation = Simulation::new(HOSTS, budget);
         for step in steps {
-            play(&mut world, &step);
-            let handed_out = world.handed_out;
-            prop_assert!(handed_out <= budget + MOST, "{handed_out} of {budget}");
+            apply_step(&mut simulation, &step);
+            let emitted_tokens = simulation.emitted_tokens;
+            prop_assert!(emitted_tokens <= budget + MOST, "{emitted_tokens} of {budget}");
         }
     }
 
     #[test]
-    fn no_outage_without_death_or_silence_overspends(
+    fn outages_without_deaths_or_isolation_do_not_overspend(
         budget in MOST..9 * MOST,
         steps in prop::collection::vec(step(), 1..160),
     ) {
-        let mut world = World::new(HOSTS, budget);
+        let mut simulation = Simulation::new(HOSTS, budget);
         for step in steps {
             let is_death = matches!(step, Step::Kill(_) | Step::KillAll | Step::Stop(_));
-            if is_death || matches!(step, Step::Cut(..)) {
+            if is_death || matches!(step, Step::SetIsolated(..)) {
                 continue;
             }
-            play(&mut world, &step);
-            let handed_out = world.handed_out;
-            prop_assert!(handed_out <= budget, "{handed_out} of {budget}");
+            apply_step(&mut simulation, &step);
+            let emitted_tokens = simulation.emitted_tokens;
+            prop_assert!(emitted_tokens <= budget, "{emitted_tokens} of {budget}");
         }
     }
 
     #[test]
-    fn what_was_granted_is_in_the_ledger_once_the_store_is_back(
+    fn granted_tokens_are_in_the_ledger_after_the_outage(
         budget in 3 * MOST..9 * MOST,
         turns in 1..6_usize,
     ) {
-        let mut world = World::new(HOSTS, budget);
-        world.is_store_up = false;
-        let mut handed_out = 0;
+        let mut simulation = Simulation::new(HOSTS, budget);
+        simulation.is_store_up = false;
+        let mut emitted_tokens = 0;
         for turn in 0..turns {
-            if world.serve(turn % HOSTS) {
-                handed_out += MOST / 4;
+            if simulation.serve_turn(turn % HOSTS) {
+                emitted_tokens += MOST / 4;
             }
         }
-        world.is_store_up = true;
-        (0..HOSTS).for_each(|host| world.flush(host));
-        prop_assert_eq!(world.spent(), handed_out);
+        simulation.is_store_up = true;
+        (0..HOSTS).for_each(|host| simulation.flush(host));
+        prop_assert_eq!(simulation.spent_in_ledger(), emitted_tokens);
     }
 }
 
@@ -155,74 +156,85 @@
     let served: Vec<usize> = [2, 3, 4, 6, 8]
         .into_iter()
         .map(|turns_of_budget| {
-            let mut world = World::new(HOSTS, turns_of_budget * MOST);
-            world.is_store_up = false;
-            (0..12).filter(|turn| world.serve(turn % HOSTS)).count()
+            let mut simulation = Simulation::new(HOSTS, turns_of_budget * MOST);
+            simulation.is_store_up = false;
+            (0..12)
+                .filter(|turn| simulation.serve_turn(turn % HOSTS))
+                .count()
         })
         .collect();
     insta::assert_debug_snapshot!(served);
 }
 
 #[test]
-fn a_planned_stop_in_an_outage_leaves_the_slots_to_others() {
-    let mut world = World::new(HOSTS, 4 * MOST);
-    world.is_store_up = false;
-    assert!(world.serve(0));
+fn a_planned_stop_in_an_outage_transfers_the_slots() {
+    let mut simulation = Simulation::new(HOSTS, 4 * MOST);
+    simulation.is_store_up = false;
+    assert!(simulation.serve_turn(0));
     for host in 0..HOSTS - 1 {
-        world.stop(host);
+        simulation.stop(host);
     }
-    assert!(world.serve(HOSTS - 1));
-    assert!(world.serve(HOSTS - 1));
+    assert!(simulation.serve_turn(HOSTS - 1));
+    assert!(simulation.serve_turn(HOSTS - 1));
 }
 
 #[test]
-fn a_planned_stop_keeps_what_was_closed() {
+fn a_planned_stop_preserves_closures() {
     let budget = 4 * MOST;
-    let mut world = World::new(HOSTS, budget);
-    world.spend(0);
-    assert!(world.handed_out + MOST > budget, "{}", world.handed_out);
+    let mut simulation = Simulation::new(HOSTS, budget);
+    simulation.spend_all(0);
+    assert!(
+        simulation.emitted_tokens + MOST > budget,
+        "{}",
+        simulation.emitted_tokens
+    );
     for host in 0..HOSTS {
-        world.stop(host);
-        (0..HOSTS).for_each(|host| world.learn(host));
+        simulation.stop(host);
+        (0..HOSTS).for_each(|host| simulation.read_tables(host));
     }
-    world.is_store_up = false;
-    assert!(!world.serve(0));
+    simulation.is_store_up = false;
+    assert!(!simulation.serve_turn(0));
 }
 
-/// The pattern of a rolling restart: the tables of the hosts that stop are older than
-/// the stops before.
+/// Guards against slots that are assigned to stopped hosts in a rolling restart: a host
+/// that stops may have read the table of hosts before earlier stops, so it must not
+/// name a stopped host as its successor.
 #[test]
 fn planned_stops_one_after_the_other_leave_no_slot_to_a_host_that_is_gone() {
     let budget = 8 * MOST;
     let quarter = MOST / 4;
-    let mut world = World::new(HOSTS, budget);
-    (0..HOSTS).for_each(|host| world.stop(host));
-    (0..HOSTS).for_each(|host| world.learn(host));
-    (0..HOSTS).for_each(|host| world.claim(host));
-    (0..HOSTS).for_each(|host| world.learn(host));
-    let served = (0..60).filter(|turn| world.serve(turn % HOSTS)).count();
+    let mut simulation = Simulation::new(HOSTS, budget);
+    (0..HOSTS).for_each(|host| simulation.stop(host));
+    (0..HOSTS).for_each(|host| simulation.read_tables(host));
+    (0..HOSTS).for_each(|host| simulation.claim_slots(host));
+    (0..HOSTS).for_each(|host| simulation.read_tables(host));
+    let served = (0..60)
+        .filter(|turn| simulation.serve_turn(turn % HOSTS))
+        .count();
     assert_eq!(served as u64, (budget - MOST) / quarter + 1);
 }
 
 #[test]
-fn the_death_of_one_owner_leaves_the_other_slot() {
+fn the_other_slot_grants_after_the_death_of_one_owner() {
     for killed in 0..HOSTS {
-        let mut world = World::new(HOSTS, 4 * MOST);
-        world.is_store_up = false;
-        world.kill(killed);
+        let mut simulation = Simulation::new(HOSTS, 4 * MOST);
+        simulation.is_store_up = false;
+        simulation.kill(killed);
         let host = (killed + 1) % HOSTS;
-        assert!(world.serve(host), "{killed} was killed");
+        assert!(simulation.serve_turn(host), "{killed} was killed");
     }
 }
 
 #[test]
-fn the_whole_budget_is_there_without_an_outage() {
+fn the_whole_budget_is_available_without_an_outage() {
     for turns_of_budget in 1..9 {
         let budget = turns_of_budget * MOST;
-        let mut world = World::new(HOSTS, budget);
+        let mut simulation = Simulation::new(HOSTS, budget);
         let quarter = MOST / 4;
         let expected = (budget - MOST) / quarter + 1;
-        let served = (0..60).filter(|turn| world.serve(turn % HOSTS)).count();
+        let served = (0..60)
+            .filter(|turn| simulation.serve_turn(turn % HOSTS))
+            .count();
         assert_eq!(served as u64, expected, "budget of {turns_of_budget}");
     }
 }
@@ -231,167 +243,202 @@
 fn a_crash_of_all_hosts_leaves_budget_for_a_few_turns() {
     let served: Vec<usize> = (3..9)
         .map(|turns_of_budget| {
-            let mut world = World::new(HOSTS, turns_of_budget * MOST);
-            (0..HOSTS).for_each(|host| world.kill(host));
-            (0..HOSTS).for_each(|host| world.learn(host));
-            (0..60).filter(|turn| world.serve(turn % HOSTS)).count()
+            let mut simulation = Simulation::new(HOSTS, turns_of_budget * MOST);
+            (0..HOSTS).for_each(|host| simulation.kill(host));
+            (0..HOSTS).for_each(|host| simulation.read_tables(host));
+            (0..60)
+                .filter(|turn| simulation.serve_turn(turn % HOSTS))
+                .count()
         })
         .collect();
     insta::assert_debug_snapshot!(served);
 }
 
-/// The pattern of a herd kill: all hosts die while the store is there, again and again.
+/// Guards against budget that stays withheld after all hosts are killed repeatedly
+/// while the store is available.
 #[test]
 fn deaths_of_all_owners_that_hold_off_cost_no_budget() {
     for turns_of_budget in 1..9 {
         let budget = turns_of_budget * MOST;
-        let mut world = World::new(HOSTS, budget);
+        let mut simulation = Simulation::new(HOSTS, budget);
         let mut served = 0;
         for _ in 0..4 {
-            served += (0..5).filter(|turn| world.serve(turn % HOSTS)).count();
-            (0..HOSTS).for_each(|host| world.hold_off(host));
-            world.now += Duration::from_secs(1);
-            (0..HOSTS).for_each(|host| world.kill(host));
-            world.settle_down();
+            served += (0..5)
+                .filter(|turn| simulation.serve_turn(turn % HOSTS))
+                .count();
+            (0..HOSTS).for_each(|host| simulation.renew_hold_off(host));
+            simulation.now += Duration::from_secs(1);
+            (0..HOSTS).for_each(|host| simulation.kill(host));
+            simulation.converge();
         }
-        served += (0..60).filter(|turn| world.serve(turn % HOSTS)).count();
+        served += (0..60)
+            .filter(|turn| simulation.serve_turn(turn % HOSTS))
+            .count();
         let quarter = MOST / 4;
         let expected = (budget - MOST) / quarter + 1;
         assert_eq!(served as u64, expected, "budget of {turns_of_budget}");
     }
 }
 
-/// Hosts that stop are killed before they have given up their slots.
+/// Guards against budget that stays withheld when hosts are killed after they began to
+/// stop, but before they released their slots.
 #[test]
-fn deaths_of_owners_that_were_stopping_cost_no_budget() {
+fn deaths_of_stopping_owners_cost_no_budget() {
     let budget = 8 * MOST;
-    let mut world = World::new(HOSTS, budget);
-    (0..HOSTS).for_each(|host| world.hold_off(host));
-    world.now += Duration::from_millis(1_200);
-    (0..HOSTS).for_each(|host| world.begin_stop(host));
-    (0..HOSTS).for_each(|host| world.hold_off(host));
-    world.now += Duration::from_millis(600);
-    (0..HOSTS).for_each(|host| world.kill(host));
-    world.settle_down();
-    let served = (0..60).filter(|turn| world.serve(turn % HOSTS)).count();
+    let mut simulation = Simulation::new(HOSTS, budget);
+    (0..HOSTS).for_each(|host| simulation.renew_hold_off(host));
+    simulation.now += Duration::from_millis(1_200);
+    (0..HOSTS).for_each(|host| simulation.start_stopping(host));
+    (0..HOSTS).for_each(|host| simulation.renew_hold_off(host));
+    simulation.now += Duration::from_millis(600);
+    (0..HOSTS).for_each(|host| simulation.kill(host));
+    simulation.converge();
+    let served = (0..60)
+        .filter(|turn| simulation.serve_turn(turn % HOSTS))
+        .count();
     assert_eq!(served as u64, (budget - MOST) / (MOST / 4) + 1);
 }
 
-/// All hosts die, and the store is away soon after they are back.
+/// Checks that turns are served in an outage that begins soon after all hosts were
+/// killed and replaced, once the new owners' hold-off has ended.
 #[test]
-fn an_outage_after_a_death_of_all_owners_is_served() {
-    let mut world = World::new(HOSTS, 4 * MOST);
-    (0..HOSTS).for_each(|host| world.hold_off(host));
-    world.now += Duration::from_secs(1);
-    (0..HOSTS).for_each(|host| world.kill(host));
-    world.settle_down();
-    (0..HOSTS).for_each(|host| world.hold_off(host));
-    world.is_store_up = false;
-    assert!(!world.serve(0), "the owners hold off");
-    world.now += HOLD_OFF;
-    let served = (0..8).filter(|turn| world.serve(turn % HOSTS)).count();
+fn turns_are_served_in_an_outage_after_the_death_of_all_owners() {
+    let mut simulation = Simulation::new(HOSTS, 4 * MOST);
+    (0..HOSTS).for_each(|host| simulation.renew_hold_off(host));
+    simulation.now += Duration::from_secs(1);
+    (0..HOSTS).for_each(|host| simulation.kill(host));
+    simulation.converge();
+    (0..HOSTS).for_each(|host| simulation.renew_hold_off(host));
+    simulation.is_store_up = false;
+    assert!(!simulation.serve_turn(0), "the owners hold off");
+    simulation.now += HOLD_OFF;
+    let served = (0..8)
+        .filter(|turn| simulation.serve_turn(turn % HOSTS))
+        .count();
     assert!(served >= 4, "{served} turns");
 }
 
-/// A host is cut off from a store that answers the owners.
+/// Checks that a host that is disconnected from the store receives grants although the
+/// owners are still connected to it, and that these grants count when the owners die.
 #[test]
-fn an_owner_that_is_asked_ends_its_hold_off() {
+fn a_grant_request_ends_the_hold_off() {
     let budget = 4 * MOST;
-    let mut world = World::new(HOSTS, budget);
-    (0..HOSTS).for_each(|host| world.hold_off(host));
-    assert!(!world.want(0), "the owners hold off");
-    (0..HOSTS).for_each(|host| world.end_hold_off(host));
-    assert!(world.want(0));
-    // What was granted since is lost with the owners, and counts.
-    (0..HOSTS).for_each(|host| world.hold_off(host));
-    while world.want(0) {}
-    (0..HOSTS).for_each(|host| world.kill(host));
-    world.settle_down();
-    world.spend(0);
-    let handed_out = world.handed_out;
-    assert!(handed_out <= budget + MOST, "{handed_out} of {budget}");
+    let mut simulation = Simulation::new(HOSTS, budget);
+    (0..HOSTS).for_each(|host| simulation.renew_hold_off(host));
+    assert!(!simulation.request_offline_grant(0), "the owners hold off");
+    (0..HOSTS).for_each(|host| simulation.end_hold_off(host));
+    assert!(simulation.request_offline_grant(0));
+    // The grants made since are lost with the owners, and count as spent.
+    (0..HOSTS).for_each(|host| simulation.renew_hold_off(host));
+    while simulation.request_offline_grant(0) {}
+    (0..HOSTS).for_each(|host| simulation.kill(host));
+    simulation.converge();
+    simulation.spend_all(0);
+    let emitted_tokens = simulation.emitted_tokens;
+    assert!(
+        emitted_tokens <= budget + MOST,
+        "{emitted_tokens} of {budget}"
+    );
 }
 
 #[test]
-fn a_death_keeps_what_was_closed() {
+fn a_death_preserves_closures() {
     let budget = 4 * MOST;
-    let mut world = World::new(HOSTS, budget);
-    world.spend(0);
-    assert!(world.handed_out + MOST > budget, "{}", world.handed_out);
-    (0..HOSTS).for_each(|host| world.hold_off(host));
-    (0..HOSTS).for_each(|host| world.kill(host));
-    world.settle_down();
-    world.is_store_up = false;
-    assert!(!world.serve(0));
+    let mut simulation = Simulation::new(HOSTS, budget);
+    simulation.spend_all(0);
+    assert!(
+        simulation.emitted_tokens + MOST > budget,
+        "{}",
+        simulation.emitted_tokens
+    );
+    (0..HOSTS).for_each(|host| simulation.renew_hold_off(host));
+    (0..HOSTS).for_each(|host| simulation.kill(host));
+    simulation.converge();
+    simulation.is_store_up = false;
+    assert!(!simulation.serve_turn(0));
 }
 
-/// What was granted is lost with an owner that held off no more.
+/// Owners that are killed after their hold-off may have made grants, so the next
+/// processes must not take over their slots at once.
 #[test]
 fn a_death_after_the_hold_off_leaves_the_slots_without_an_owner() {
-    let mut world = World::new(HOSTS, 4 * MOST);
-    (0..HOSTS).for_each(|host| world.hold_off(host));
-    world.now += HOLD_OFF + Duration::from_millis(1);
-    (0..HOSTS).for_each(|host| world.kill(host));
-    world.settle_down();
-    world.is_store_up = false;
-    assert!(!world.serve(0));
+    let mut simulation = Simulation::new(HOSTS, 4 * MOST);
+    (0..HOSTS).for_each(|host| simulation.renew_hold_off(host));
+    simulation.now += HOLD_OFF + Duration::from_millis(1);
+    (0..HOSTS).for_each(|host| simulation.kill(host));
+    simulation.converge();
+    simulation.is_store_up = false;
+    assert!(!simulation.serve_turn(0));
 }
 
-/// Hosts granted in an outage and die after it, before the ledger has what they granted.
+/// Guards against lost grants: owners made grants in an outage and are killed after it,
+/// before the grants are in the ledger.
 #[test]
-fn an_owner_whose_grants_no_ledger_has_does_not_hold_off() {
+fn an_owner_with_unsettled_grants_does_not_hold_off() {
     let budget = 4 * MOST;
-    let mut world = World::new(HOSTS, budget);
-    world.is_store_up = false;
-    world.spend(0);
-    assert!(world.handed_out > MOST, "{}", world.handed_out);
-    world.is_store_up = true;
-    world.now += DEMAND_WINDOW;
-    (0..HOSTS).for_each(|host| world.hold_off(host));
-    (0..HOSTS).for_each(|host| world.kill(host));
-    world.settle_down();
-    world.spend(0);
-    let handed_out = world.handed_out;
-    assert!(handed_out <= budget + MOST, "{handed_out} of {budget}");
+    let mut simulation = Simulation::new(HOSTS, budget);
+    simulation.is_store_up = false;
+    simulation.spend_all(0);
+    assert!(
+        simulation.emitted_tokens > MOST,
+        "{}",
+        simulation.emitted_tokens
+    );
+    simulation.is_store_up = true;
+    simulation.now += DEMAND_WINDOW;
+    (0..HOSTS).for_each(|host| simulation.renew_hold_off(host));
+    (0..HOSTS).for_each(|host| simulation.kill(host));
+    simulation.converge();
+    simulation.spend_all(0);
+    let emitted_tokens = simulation.emitted_tokens;
+    assert!(
+        emitted_tokens <= budget + MOST,
+        "{emitted_tokens} of {budget}"
+    );
 }
 
-/// An owner says that the slot is closed and dies; the reservation that rests on it comes
-/// to the store after the next owner has read which programs are closed.
+/// Guards against a late reservation: an owner confirms that the slot is closed and is
+/// killed, and the reservation that depends on the closure reaches the store after the
+/// next owner has read from the ledgers which programs are closed.
 #[test]
-fn a_reservation_that_rests_on_a_dead_owner_s_word_is_not_written() {
+fn a_reservation_based_on_a_dead_owner_s_closure_is_not_written() {
     let budget = 4 * MOST;
-    let mut world = World::new(HOSTS, budget);
-    while world.spent() + 2 * MOST <= budget {
-        assert!(world.serve(0));
+    let mut simulation = Simulation::new(HOSTS, budget);
+    while simulation.spent_in_ledger() + 2 * MOST <= budget {
+        assert!(simulation.serve_turn(0));
     }
-    (0..HOSTS).for_each(|host| world.hold_off(host));
-    assert!(world.begin(0));
-    world.is_store_up = false;
-    world.send(0, false);
-    world.is_store_up = true;
-    (0..HOSTS).for_each(|host| world.kill(host));
-    world.settle_down();
-    let ledger = world.ledger();
-    world.arrive_late(0);
-    assert_eq!(world.ledger(), ledger);
+    (0..HOSTS).for_each(|host| simulation.renew_hold_off(host));
+    assert!(simulation.start_turn(0));
+    simulation.is_store_up = false;
+    simulation.send(0, false);
+    simulation.is_store_up = true;
+    (0..HOSTS).for_each(|host| simulation.kill(host));
+    simulation.converge();
+    let ledger = simulation.ledger();
+    simulation.deliver_late(0);
+    assert_eq!(simulation.ledger(), ledger);
 }
 
 #[test]
-fn an_outage_leaves_the_rest_of_the_budget() {
+fn the_remaining_budget_is_available_after_an_outage() {
     let budget = 8 * MOST;
-    let mut world = World::new(HOSTS, budget);
+    let mut simulation = Simulation::new(HOSTS, budget);
     let quarter = MOST / 4;
-    world.is_store_up = false;
-    let in_outage = (0..6).filter(|turn| world.serve(turn % HOSTS)).count();
-    world.is_store_up = true;
-    (0..HOSTS).for_each(|host| world.flush(host));
-    let after = (0..60).filter(|turn| world.serve(turn % HOSTS)).count();
+    simulation.is_store_up = false;
+    let in_outage = (0..6)
+        .filter(|turn| simulation.serve_turn(turn % HOSTS))
+        .count();
+    simulation.is_store_up = true;
+    (0..HOSTS).for_each(|host| simulation.flush(host));
+    let after = (0..60)
+        .filter(|turn| simulation.serve_turn(turn % HOSTS))
+        .count();
     let expected = (budget - MOST) / quarter + 1;
     assert_eq!((in_outage + after) as u64, expected);
 }
 
 #[test]
-fn a_closed_slot_grants_nothing_and_a_grant_keeps_it_open() {
+fn a_closed_slot_grants_nothing_and_an_outstanding_grant_keeps_it_open() {
     let mut accounts = Accounts::default();
     let request = |grant: &str, tokens| GrantRequest {
         grant: grant.to_owned(),
@@ -412,7 +459,7 @@
 }
 
 #[test]
-fn a_slot_is_known_by_the_key_of_its_row() {
+fn slot_keys_round_trip() {
     for slot in SlotId::all() {
         assert_eq!(SlotId::from_key(&slot.key()), Some(slot));
     }
