--- a/coordination/src/gateway/escrow/hold_off.rs
+++ b/coordination/src/gateway/escrow/hold_off.rs
@@ -7,11 +7,11 @@
 //! it started before the end of the hold-off, its predecessor died during the hold-off
 //! and lost no grants, so it takes over the predecessor's slots at once.
 //!
-//! A host may be disconnected from the store while the owner is still connected to it.
-//! An owner that is asked for a grant therefore ends its hold-off: it writes a separate
-//! row, the end marker of the hold-off's epoch, and grants again once the marker is
-//! durable. A hold-off row whose epoch has an end marker is ignored, however late the
-//! row is written.
+//! A host may be disconnected from the store while the owner of a slot is not. An owner
+//! that is asked for a grant therefore ends its hold-off: it writes a separate row, the
+//! end marker of the hold-off's epoch, and grants again once the marker is durable. A
+//! hold-off row whose epoch has an end marker is ignored, however late the row is
+//! written.
 //!
 //! The clocks of two hosts are never compared. The end of a hold-off and the start of a
 //! process are both times of the store's clock, estimated from its responses. An
@@ -28,8 +28,8 @@
 use crate::gateway::ledger::Holder;
 
 /// Duration of a hold-off after its announcement. It is long enough for a killed
-/// process to be restarted within it. A turn at the beginning of an outage waits at
-/// most this long.
+/// process to be restarted within it. A turn at the beginning of an outage waits
+/// at most this long for a grant.
 pub const HOLD_OFF: Duration = Duration::from_millis(1_500);
 /// Period after a request for a grant in which a hold-off is not renewed.
 pub const DEMAND_WINDOW: Duration = Duration::from_secs(3);
--- a/coordination/tests/gateway_escrow.rs
+++ b/coordination/tests/gateway_escrow.rs
@@ -319,7 +319,7 @@
 }
 
 /// Checks that a host that is disconnected from the store receives grants although the
-/// owners are still connected to it, and that these grants count when the owners die.
+/// owners of the slots are not, and that these grants count after the owners' deaths.
 #[test]
 fn a_grant_request_ends_the_hold_off() {
     let budget = 4 * MOST;
