--- a/coordination/src/gateway/limits.rs
+++ b/coordination/src/gateway/limits.rs
@@ -1,24 +1,26 @@
-//! Customers' limits, which hold over all hosts together.
+//! Enforces the rate limits of customers across all hosts.
 //!
-//! Of each customer one host, its *allocator*, hands out the requests that its
-//! limit allows, in small grants. A host serves a request from what it was
-//! granted; when it has nothing left, it asks, which takes one datagram each way.
-//! What a host has and does not use goes back with its next question.
+//! For each customer, one host, the *allocator*, holds the token bucket and divides
+//! its tokens among the hosts in small grants. A host serves a request from its
+//! local quota. When the quota is used up, the host requests more, which takes one
+//! datagram in each direction. Each quota request also reports what the host still
+//! holds, so that unused quota returns to the allocator.
 //!
-//! | what | where |
+//! | subject | module |
 //! |---|---|
-//! | a customer's bucket, and who has how much of it | [`allocator`], [`bucket`] |
-//! | what a host has, and whether a request is served from it | [`stock`] |
-//! | which host allocates, and how long it has been silent | [`links`] |
-//! | what hosts say to each other | [`message`] |
+//! | the token buckets of customers and the quota that each host holds | [`allocator`], [`bucket`] |
+//! | the local quota of a host, and admission of requests against it | [`local_quota`] |
+//! | choice of the allocator, and detection of allocators that do not respond | [`links`] |
+//! | messages between hosts | [`message`] |
 //!
-//! [`HostLimits`] joins them for one host.
+//! [`HostLimits`] combines them for one host.
 //!
-//! Nothing is agreed on. An allocator hands out the part of the limit that
-//! belongs to the hosts which it heard lately and which heard it: hosts that are
-//! cut off from each other find allocators of their own, and their parts add up
-//! to the limit. An allocator that starts knows nothing and begins with a nearly
-//! empty bucket, so that nothing is handed out twice after any restart.
+//! The protocol needs no consensus. An allocator grants the fraction of a limit that
+//! corresponds to the fraction of hosts which recently sent to it and recently
+//! received its response. Hosts that are partitioned from each other choose
+//! different allocators, whose fractions add up to at most the limit. An allocator
+//! that starts has no record of earlier grants. It starts with a nearly empty
+//! bucket, so that a restart does not grant the same tokens twice.
 
 use std::collections::{HashMap, HashSet};
 use std::time::Duration;
@@ -27,100 +29,104 @@
 use rosebend_util::hash_parts;
 
 use self::allocator::Allocator;
-use self::links::{Links, SILENT_AFTER};
-use self::message::{Answer, Ask};
-use self::stock::{Demand, Stock};
+use self::links::{ALLOCATOR_TIMEOUT, AllocatorLinks};
+use self::local_quota::{LocalQuota, RequestClass};
+use self::message::{AllocatorRequest, AllocatorResponse};
 use crate::gateway::gatherers::Candidate;
 use crate::gateway::ledger::Holder;
 
 pub mod allocator;
 pub mod bucket;
 pub mod links;
+pub mod local_quota;
 pub mod message;
-pub mod stock;
 
-/// Groups of customers that have the same allocator. Few, so that each host has
-/// to keep in touch with few others, however many there are.
-const GROUPS: u64 = 16;
-/// Customers of one message: with names of usual length no link splits it, and with
-/// the longest ones it has a few kilobytes.
+/// Number of customer groups; all customers of a group have the same allocator. The
+/// number is small so that each host exchanges messages with few others, however
+/// many hosts there are.
+const GROUP_COUNT: u64 = 16;
+/// Maximum number of customers in one message. With names of usual length, the
+/// datagram fits into one packet of any link; with names of the maximum length, it
+/// has a few kilobytes.
 const MAX_CUSTOMERS: usize = 8;
 
-/// A group of customers.
+/// Index of a group of customers.
 pub type Group = u64;
 
-/// The group of a customer.
+/// Returns the group of a customer.
 pub fn group_of(customer: &str) -> Group {
-    hash_parts(&[customer.as_bytes()]) % GROUPS
+    hash_parts(&[customer.as_bytes()]) % GROUP_COUNT
 }
 
-/// How operators judge a limit.
+/// Limit on the requests that may be served beyond a customer's limit.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Tolerance {
-    /// The time over which they do.
+    /// Length of the time window over which a limit is checked.
     pub window: Duration,
-    /// Part of what the limit allows in such a time by which it may be exceeded.
+    /// Overage that is tolerated within a window, as a fraction of the requests that
+    /// the limit allows in it.
     pub overage: f64,
-    /// Requests in such a time besides.
+    /// Number of requests per window that are tolerated in addition to the overage.
     pub slack: f64,
 }
 
-/// Whether a request of a customer is served.
+/// Result of checking a request against the limit of its customer.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Decision {
-    /// It is.
+    /// The request is served.
     Admit,
-    /// The limit does not allow it; it may be tried again after this time.
+    /// The limit does not allow the request; the caller may retry after this time.
     Refuse(Duration),
-    /// The allocator has to be asked.
-    Ask,
-    /// Nobody can tell what the limit allows; after this time another allocator may.
-    NotKnown(Duration),
+    /// The local quota is used up; a grant has to be requested from the allocator.
+    AwaitGrant,
+    /// The allocator does not respond; another one may take over after this time.
+    AllocatorUnavailable(Duration),
 }
 
-/// What a host knows of a customer's limit, for the log.
+/// State of a customer's limit on one host, for the log.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Facts {
+pub struct LimitStatus {
     /// Requests of the customer that this host has served.
     pub served: u64,
-    /// The run of the host that hands out the limit; none when all are silent.
+    /// Process that allocates the limit, or none if no allocator responds.
     pub allocator: Option<Holder>,
-    /// How long ago it was last heard.
-    pub heard: Option<Duration>,
+    /// Time since the last response of the allocator.
+    pub response_age: Option<Duration>,
 }
 
-/// The limits as one host keeps to them, and those that it allocates.
+/// Local quotas of one host, and the limits that this host allocates.
 #[derive(Debug)]
 pub struct HostLimits<A> {
-    own_run: Holder,
+    own_process: Holder,
     limits: HashMap<CustomerName, CustomerLimit>,
     tolerance: Tolerance,
-    hosts: usize,
-    /// Runs of all hosts; nobody else is listened to.
-    runs: HashSet<Holder>,
-    links: Links<A>,
-    stocks: HashMap<CustomerName, Stock>,
+    host_count: usize,
+    /// Processes of all known hosts; messages of any other process are ignored.
+    processes: HashSet<Holder>,
+    links: AllocatorLinks<A>,
+    local_quotas: HashMap<CustomerName, LocalQuota>,
     allocator: Allocator,
 }
 
 impl<A: Clone> HostLimits<A> {
-    /// No customer and no other host known.
-    pub fn new(own_run: Holder, tolerance: Tolerance) -> Self {
+    /// Creates the state of a host without customers and without other hosts.
+    pub fn new(own_process: Holder, tolerance: Tolerance) -> Self {
         Self {
-            links: Links::new(own_run.clone()),
-            own_run,
+            links: AllocatorLinks::new(own_process.clone()),
+            own_process,
             limits: HashMap::new(),
             tolerance,
-            hosts: 0,
-            runs: HashSet::new(),
-            stocks: HashMap::new(),
+            host_count: 0,
+            processes: HashSet::new(),
+            local_quotas: HashMap::new(),
             allocator: Allocator::default(),
         }
     }
 
-    /// Takes the limits that operators declare.
+    /// Replaces the limits with those that operators have declared.
     pub fn set_limits(&mut self, limits: HashMap<CustomerName, CustomerLimit>) {
-        self.stocks.retain(|name, _| limits.contains_key(name));
+        self.local_quotas
+            .retain(|name, _| limits.contains_key(name));
         self.allocator.retain(|name| limits.contains_key(name));
         self.limits = limits;
     }
@@ -130,186 +136,213 @@
         self.tolerance = tolerance;
     }
 
-    /// Takes all hosts that are there, this one among them.
+    /// Replaces the set of known hosts, which includes this host.
     pub fn set_hosts(&mut self, hosts: Vec<Candidate<A>>) {
-        self.hosts = hosts.len();
-        self.runs = hosts.iter().map(|host| host.run.clone()).collect();
+        self.host_count = hosts.len();
+        self.processes = hosts.iter().map(|host| host.run.clone()).collect();
         self.links.set_hosts(hosts);
     }
 
-    /// Whether any customer has a limit.
+    /// Returns whether any customer has a limit.
     pub fn has_limits(&self) -> bool {
         !self.limits.is_empty()
     }
 
-    /// Whether a request of a customer is served now.
-    pub fn decide(&mut self, customer: &str, demand: Demand, now: Duration) -> Decision {
+    /// Checks a request of a customer against the local quota.
+    pub fn decide(&mut self, customer: &str, class: RequestClass, now: Duration) -> Decision {
         if !self.limits.contains_key(customer) {
             return Decision::Admit;
         }
-        self.stock(customer).decide(demand, now)
+        self.local_quota(customer).decide(class, now)
     }
 
-    /// Whether a request is served whose allocator was asked and did not answer.
-    pub fn decide_unanswered(&mut self, customer: &str, demand: Demand, now: Duration) -> Decision {
+    /// Checks a request for which the allocator did not respond in time. Some
+    /// requests are admitted without a grant until another allocator is due to take
+    /// over.
+    pub fn decide_after_timeout(
+        &mut self,
+        customer: &str,
+        class: RequestClass,
+        now: Duration,
+    ) -> Decision {
         if !self.limits.contains_key(customer) {
             return Decision::Admit;
         }
-        let left = self.links.left(group_of(customer), now);
-        if left.is_some() && self.stock(customer).go_on(demand, now) {
+        let time_to_switch = self.links.time_to_switch(group_of(customer), now);
+        if time_to_switch.is_some() && self.local_quota(customer).admit_unacknowledged(class, now) {
             return Decision::Admit;
         }
-        Decision::NotKnown(left.unwrap_or(SILENT_AFTER))
+        Decision::AllocatorUnavailable(time_to_switch.unwrap_or(ALLOCATOR_TIMEOUT))
     }
 
-    /// Counts a request that waits until its allocator has answered.
-    pub fn begin_waiting(&mut self, customer: &str, demand: Demand) {
-        self.stock(customer).begin_waiting(demand);
+    /// Counts a request that waits for a grant.
+    pub fn add_waiting(&mut self, customer: &str, class: RequestClass) {
+        self.local_quota(customer).add_waiting(class);
     }
 
-    /// Counts it no longer.
-    pub fn end_waiting(&mut self, customer: &str, demand: Demand) {
-        self.stock(customer).end_waiting(demand);
+    /// Removes a request from the count of waiting requests.
+    pub fn remove_waiting(&mut self, customer: &str, class: RequestClass) {
+        self.local_quota(customer).remove_waiting(class);
     }
 
-    /// Takes back a request that was served and then did not run.
-    pub fn give_back(&mut self, customer: &str, demand: Demand) {
-        if let Some(stock) = self.stocks.get_mut(customer) {
-            stock.give_back(demand);
+    /// Subtracts a request that was admitted and then not run.
+    pub fn refund(&mut self, customer: &str, class: RequestClass) {
+        if let Some(local_quota) = self.local_quotas.get_mut(customer) {
+            local_quota.refund(class);
         }
     }
 
-    /// What a refusal was decided by.
-    pub fn facts(&self, customer: &str, now: Duration) -> Facts {
+    /// Returns the state on which a refusal of the customer is based.
+    pub fn status(&self, customer: &str, now: Duration) -> LimitStatus {
         let allocator = self.links.current(group_of(customer), now);
-        let run = allocator.map(|allocator| allocator.run.clone());
-        let heard_ms = run.as_ref().and_then(|run| self.links.heard_ms(run, now));
-        Facts {
-            served: self.stocks.get(customer).map_or(0, Stock::served),
-            allocator: run,
-            heard: heard_ms.map(Duration::from_millis),
+        let process = allocator.map(|allocator| allocator.run.clone());
+        let response_age_ms = process
+            .as_ref()
+            .and_then(|process| self.links.response_age_ms(process, now));
+        LimitStatus {
+            served: self
+                .local_quotas
+                .get(customer)
+                .map_or(0, LocalQuota::served),
+            allocator: process,
+            response_age: response_age_ms.map(Duration::from_millis),
         }
     }
 
-    fn stock(&mut self, customer: &str) -> &mut Stock {
-        if !self.stocks.contains_key(customer) {
-            self.stocks.insert(customer.to_owned(), Stock::default());
+    fn local_quota(&mut self, customer: &str) -> &mut LocalQuota {
+        if !self.local_quotas.contains_key(customer) {
+            self.local_quotas
+                .insert(customer.to_owned(), LocalQuota::default());
         }
-        self.stocks.get_mut(customer).expect("it was just added")
+        self.local_quotas
+            .get_mut(customer)
+            .expect("it was just added")
     }
 
-    /// What is to be asked for a customer at once, and where.
-    pub fn asks_for(&mut self, customer: &str, now: Duration) -> Option<(A, Ask)> {
+    /// Returns the quota request that has to be sent for a customer immediately, and
+    /// the address of its allocator.
+    pub fn urgent_request(
+        &mut self,
+        customer: &str,
+        now: Duration,
+    ) -> Option<(A, AllocatorRequest)> {
         let group = group_of(customer);
-        let stock = self.stocks.get(customer)?;
+        let local_quota = self.local_quotas.get(customer)?;
         let allocator = self.links.current(group, now)?.clone();
-        let is_due = stock.is_waiting() && stock.is_due(now);
-        is_due.then(|| self.ask(vec![group], &allocator, &[customer.to_owned()], now))?
+        let is_due = local_quota.is_waiting() && local_quota.is_due(now);
+        is_due.then(|| self.build_request(vec![group], &allocator, &[customer.to_owned()], now))?
     }
 
-    /// What is to be said to all allocators by and by, and where they answer.
-    pub fn asks(&mut self, now: Duration) -> Vec<(A, Ask)> {
+    /// Returns the requests that are due to all allocators, and their addresses.
+    pub fn due_requests(&mut self, now: Duration) -> Vec<(A, AllocatorRequest)> {
         if !self.has_limits() {
             return Vec::new();
         }
         let mut due = self.due_customers(now);
-        let mut asks = Vec::new();
-        for (allocator, groups) in self.links.to_tell(now) {
+        let mut due_requests = Vec::new();
+        for (allocator, groups) in self.links.recipients(now) {
             let names = groups.iter().flat_map(|group| due.remove(group));
             let names: Vec<CustomerName> = names.flatten().collect();
             let is_due = self.links.is_due(&allocator.run, now);
             if names.is_empty() && is_due {
-                asks.extend(self.ask(groups, &allocator, &[], now));
+                due_requests.extend(self.build_request(groups, &allocator, &[], now));
                 continue;
             }
             for names in names.chunks(MAX_CUSTOMERS) {
-                asks.extend(self.ask(groups.clone(), &allocator, names, now));
+                due_requests.extend(self.build_request(groups.clone(), &allocator, names, now));
             }
         }
-        asks
+        due_requests
     }
 
-    /// Customers of whom there is something to say, by their groups.
+    /// Returns the customers for which a message to the allocator is due, by group.
     fn due_customers(&self, now: Duration) -> HashMap<Group, Vec<CustomerName>> {
         let mut due: HashMap<Group, Vec<CustomerName>> = HashMap::new();
-        for (name, stock) in &self.stocks {
-            if stock.is_due(now) {
+        for (name, local_quota) in &self.local_quotas {
+            if local_quota.is_due(now) {
                 due.entry(group_of(name)).or_default().push(name.clone());
             }
         }
         due
     }
 
-    /// One question. What this host allocates itself is answered at once.
-    fn ask(
+    /// Builds one request to an allocator. If this host is the allocator, the
+    /// request is handled locally and nothing is returned.
+    fn build_request(
         &mut self,
         groups: Vec<Group>,
         allocator: &Candidate<A>,
         names: &[CustomerName],
         now: Duration,
-    ) -> Option<(A, Ask)> {
-        let number = self.links.say(&allocator.run, now);
-        let stocks = names.iter().filter_map(|name| {
-            let stock = self.stocks.get_mut(name)?;
-            Some(stock.ask(name, number, now))
+    ) -> Option<(A, AllocatorRequest)> {
+        let number = self.links.record_request(&allocator.run, now);
+        let local_quotas = names.iter().filter_map(|name| {
+            let local_quota = self.local_quotas.get_mut(name)?;
+            Some(local_quota.build_request(name, number, now))
         });
-        let ask = Ask {
-            from: self.own_run.clone(),
+        let request = AllocatorRequest {
+            from: self.own_process.clone(),
             to: allocator.run.clone(),
             number,
             groups,
-            heard_ms: self.links.heard_ms(&allocator.run, now),
-            customers: stocks.collect(),
+            response_age_ms: self.links.response_age_ms(&allocator.run, now),
+            customers: local_quotas.collect(),
         };
-        if allocator.run != self.own_run {
-            return Some((allocator.address.clone(), ask));
+        if allocator.run != self.own_process {
+            return Some((allocator.address.clone(), request));
         }
-        let answer = self.allocate(&ask, now);
-        self.take_answer(&answer, now);
+        let response = self.allocate(&request, now);
+        self.handle_response(&response, now);
         None
     }
 
-    /// Answers a question; none when it is not for this run of this host, or not
-    /// from a host of this deployment.
-    pub fn take_ask(&mut self, ask: &Ask, now: Duration) -> Option<Answer> {
-        let is_ours = ask.to == self.own_run && self.runs.contains(&ask.from);
-        is_ours.then(|| self.allocate(ask, now))
+    /// Handles a request of another host. Returns none if it is addressed to another
+    /// process or sent by a process that does not belong to the deployment.
+    pub fn handle_request(
+        &mut self,
+        request: &AllocatorRequest,
+        now: Duration,
+    ) -> Option<AllocatorResponse> {
+        let is_valid = request.to == self.own_process && self.processes.contains(&request.from);
+        is_valid.then(|| self.allocate(request, now))
     }
 
-    fn allocate(&mut self, ask: &Ask, now: Duration) -> Answer {
-        self.allocator.hear(ask, now);
-        let customers = ask.customers.iter().filter_map(|wanted| {
-            let limit = *self.limits.get(&wanted.customer)?;
+    fn allocate(&mut self, request: &AllocatorRequest, now: Duration) -> AllocatorResponse {
+        self.allocator.record_follower(request, now);
+        let customers = request.customers.iter().filter_map(|requested| {
+            let limit = *self.limits.get(&requested.customer)?;
             let allocator = &mut self.allocator;
-            let share = allocator.share(group_of(&wanted.customer), self.hosts, now);
-            Some(allocator.grant(&ask.from, wanted, limit, self.tolerance, share, now))
+            let share = allocator.share(group_of(&requested.customer), self.host_count, now);
+            Some(allocator.grant(&request.from, requested, limit, self.tolerance, share, now))
         });
-        Answer {
-            from: self.own_run.clone(),
-            to: ask.from.clone(),
-            number: ask.number,
+        AllocatorResponse {
+            from: self.own_process.clone(),
+            to: request.from.clone(),
+            number: request.number,
             customers: customers.collect(),
         }
     }
 
-    /// Takes an allocator's answer. One that is not the newest question's tells no
-    /// more than that the allocator lives. Returns whether it was for this host.
-    pub fn take_answer(&mut self, answer: &Answer, now: Duration) -> bool {
-        if answer.to != self.own_run || !self.runs.contains(&answer.from) {
+    /// Handles the response of an allocator and returns whether it was addressed to
+    /// this host. A response to an older request only proves that the allocator is
+    /// alive.
+    pub fn handle_response(&mut self, response: &AllocatorResponse, now: Duration) -> bool {
+        if response.to != self.own_process || !self.processes.contains(&response.from) {
             return false;
         }
-        self.links.heard(&answer.from, now);
-        for granted in &answer.customers {
-            if let Some(stock) = self.stocks.get_mut(&granted.customer) {
-                stock.take(granted, answer.number, now);
+        self.links.record_response(&response.from, now);
+        for granted in &response.customers {
+            if let Some(local_quota) = self.local_quotas.get_mut(&granted.customer) {
+                local_quota.apply_grant(granted, response.number, now);
             }
         }
         true
     }
 
-    /// Forgets what is not needed any more.
+    /// Removes state that is no longer needed.
     pub fn expire(&mut self, now: Duration) {
         self.allocator.expire(now);
-        self.stocks.retain(|_, stock| !stock.is_idle(now));
+        self.local_quotas
+            .retain(|_, local_quota| !local_quota.is_idle(now));
     }
 }
--- a/coordination/src/gateway/limits/allocator.rs
+++ b/coordination/src/gateway/limits/allocator.rs
@@ -1,336 +1,368 @@
-//! What of each customer's limit is handed out, and to whom.
+//! Divides the limits of customers among hosts, and keeps account of the quota that
+//! each host holds.
 
 use std::collections::HashMap;
 use std::time::Duration;
 
 use rosebend_state::deployment::{CustomerLimit, CustomerName};
 
-use super::bucket::Bucket;
-use super::links::SILENT_AFTER;
-use super::message::{Ask, Granted, Wanted};
+use super::bucket::TokenBucket;
+use super::links::ALLOCATOR_TIMEOUT;
+use super::message::{AllocatorRequest, QuotaGrant, QuotaRequest};
 use super::{Group, Tolerance};
 use crate::gateway::ledger::Holder;
 
-/// Part of the tolerated overage, in proportion to the limit, that a bucket holds
-/// besides the burst. The rest is for what is served unasked, and for
-/// requests that reach their endpoints later than they were counted.
-const OVERAGE_PART: f64 = 0.5;
-/// The same of the requests that are tolerated besides. Small customers, whose requests
-/// come in crowds of a few programs, need them most.
-const SLACK_PART: f64 = 0.75;
-/// The same of what a bucket holds that was never seen full: nobody knows what was
-/// served before. With the parts above it is less than all that is tolerated.
-const FIRST_OVERAGE_PART: f64 = 0.4;
-const FIRST_SLACK_PART: f64 = 0.25;
-/// Part of what is left that a host may have for requests which have not come, as
-/// one in so many: what one host keeps, others lack.
-const AHEAD_PART: f64 = 16.0;
-/// Part of a full bucket that programs under way find at least, as one in so many,
-/// before another one begins.
-const RESERVED_PART: f64 = 12.0;
-/// How full a bucket must be for programs to begin whatever they will need.
-const AMPLE_PART: f64 = 0.9;
-/// Time for which a program that begins may need requests: about what the longer
-/// ones of the known sites take.
-const PROGRAM_TIME: Duration = Duration::from_secs(2);
-/// Requests of a program before any is known: a turn and two calls, a few times.
-const USUAL_REQUESTS: f64 = 10.0;
-/// Programs that the usual number weighs as much as.
-const USUAL_WEIGHT: f64 = 4.0;
-/// Time in which what was learned of programs loses half of its weight.
-const LEARNED_HALF_LIFE: Duration = Duration::from_secs(10);
-/// How long a customer's bucket is believed that no host asked for: within this time
-/// an allocator that hosts have left is left by all of them.
-const STALE_AFTER: Duration = Duration::from_millis(2_500);
-/// How long a host that says nothing is remembered, with what it had.
-const FORGOTTEN_AFTER: Duration = Duration::from_secs(10);
-/// Bounds on the time after which a refused request may come again. Callers follow
-/// it for a third of the time that they have.
-const WAITS: (Duration, Duration) = (Duration::from_millis(100), Duration::from_secs(2));
+/// Part of the tolerated overage that a request bucket holds in addition to the
+/// burst. The rest covers requests that are served without a grant, and requests
+/// that reach their endpoints later than they were counted.
+const OVERAGE_FRACTION: f64 = 0.5;
+/// Part of the tolerated slack that a request bucket holds in addition to the burst.
+/// Small customers need the slack most, because the requests of a few programs
+/// arrive in bursts.
+const SLACK_FRACTION: f64 = 0.75;
+/// Parts of the tolerated overage and slack that a new bucket holds. An allocator
+/// does not know what was served before it created the bucket. Together with the
+/// parts above, these stay below the full tolerance.
+const INITIAL_OVERAGE_FRACTION: f64 = 0.4;
+const INITIAL_SLACK_FRACTION: f64 = 0.25;
+/// Divisor of the free tokens that limits how many a host may hold for requests that
+/// have not arrived yet. Tokens that one host holds are not available to others.
+const PREFETCH_DIVISOR: f64 = 16.0;
+/// Divisor of the bucket capacity that gives the tokens reserved for programs in
+/// progress. No further program starts while fewer are free.
+const RESERVE_DIVISOR: f64 = 12.0;
+/// Fill level from which on programs may start regardless of their expected
+/// requests.
+const AMPLE_FRACTION: f64 = 0.9;
+/// Period after its start during which a program is assumed to issue requests: about
+/// the duration of the longer programs at the known sites.
+const PROGRAM_DURATION: Duration = Duration::from_secs(2);
+/// Assumed requests of a program before any was observed: a turn and two calls, a
+/// few times over.
+const DEFAULT_PROGRAM_REQUESTS: f64 = 10.0;
+/// Number of observed programs to which the assumed number of requests is equal in
+/// weight.
+const DEFAULT_WEIGHT: f64 = 4.0;
+/// Half-life of the observations of program sizes.
+const OBSERVATION_HALF_LIFE: Duration = Duration::from_secs(10);
+/// Time without a request after which the account of a customer is dropped. Hosts
+/// that switch to another allocator have all done so within this time.
+const ACCOUNT_TIMEOUT: Duration = Duration::from_millis(2_500);
+/// Time without a report after which the record of a host and its quota is dropped.
+const HOST_RECORD_TIMEOUT: Duration = Duration::from_secs(10);
+/// Minimum and maximum time after which a refused request may be retried. Callers
+/// follow the suggested time up to a third of their own deadline.
+const RETRY_AFTER_BOUNDS: (Duration, Duration) =
+    (Duration::from_millis(100), Duration::from_secs(2));
 
-/// The customers whose limits this host hands out.
+/// The customers whose limits this host allocates.
 #[derive(Debug, Default)]
 pub struct Allocator {
     accounts: HashMap<CustomerName, Account>,
-    /// Until when hosts count that keep to this one, by group.
-    votes: HashMap<Group, HashMap<Holder, Duration>>,
-    /// What programs of all customers needed.
-    learned: Learned,
+    /// Times until which hosts count as using this allocator, by group.
+    followers: HashMap<Group, HashMap<Holder, Duration>>,
+    /// Observed requests of the programs of all customers.
+    usage: ProgramUsage,
 }
 
-/// One customer's limit.
+/// Account of one customer's limit.
 #[derive(Debug)]
 struct Account {
-    /// What the limit allows. What hosts have is still in it.
-    requests: Bucket,
-    /// The same for what the programs that began will need.
-    begins: Bucket,
+    /// Tokens for requests, including those that hosts hold.
+    requests: TokenBucket,
+    /// Tokens for the expected requests of the programs that start.
+    starts: TokenBucket,
     hosts: HashMap<Holder, HostAccount>,
-    /// Sum of what the hosts have.
+    /// Total quota that the hosts hold.
     held: u64,
-    /// When a host last asked.
-    asked_at: Duration,
-    learned: Learned,
+    /// Time of the last request of any host.
+    requested_at: Duration,
+    usage: ProgramUsage,
 }
 
-/// What one host has of a customer's limit.
+/// Account of one host within a customer's limit.
 #[derive(Clone, Copy, Debug, Default)]
 struct HostAccount {
     served: u64,
-    begun: u64,
+    started: u64,
     held: u64,
-    /// Programs that it was allowed to begin and has not told of.
-    allowed_begins: u64,
-    heard_at: Duration,
+    /// Program starts that were granted to the host and that it has not reported.
+    granted_starts: u64,
+    reported_at: Duration,
 }
 
-/// Requests and programs that began lately.
+/// Decaying counts of requests and of program starts.
 #[derive(Clone, Copy, Debug, Default)]
-struct Learned {
+struct ProgramUsage {
     requests: f64,
-    begins: f64,
+    starts: f64,
     at: Duration,
 }
 
-impl Learned {
-    fn add(&mut self, requests: f64, begins: f64, now: Duration) {
-        let passed = now.saturating_sub(self.at).as_secs_f64();
-        let kept = 0.5_f64.powf(passed / LEARNED_HALF_LIFE.as_secs_f64());
-        self.requests = self.requests * kept + requests.max(0.0);
-        self.begins = self.begins * kept + begins.max(0.0);
+impl ProgramUsage {
+    fn add(&mut self, requests: f64, starts: f64, now: Duration) {
+        let elapsed = now.saturating_sub(self.at).as_secs_f64();
+        let decay = 0.5_f64.powf(elapsed / OBSERVATION_HALF_LIFE.as_secs_f64());
+        self.requests = self.requests * decay + requests.max(0.0);
+        self.starts = self.starts * decay + starts.max(0.0);
         self.at = now;
     }
 
-    /// Requests of one program, where `usual` is what programs usually need.
-    fn requests_per_program(&self, usual: f64) -> f64 {
-        let requests = self.requests + usual * USUAL_WEIGHT;
-        (requests / (self.begins + USUAL_WEIGHT)).max(1.0)
+    /// Returns the estimated requests of one program; `prior` is the estimate
+    /// without observations.
+    fn requests_per_program(&self, prior: f64) -> f64 {
+        let requests = self.requests + prior * DEFAULT_WEIGHT;
+        (requests / (self.starts + DEFAULT_WEIGHT)).max(1.0)
     }
 }
 
 impl Allocator {
-    /// Takes note of a host that keeps to this one.
+    /// Records that the sender uses this allocator for the groups of the request.
     ///
-    /// It counts until it would turn to another allocator, by when it last heard
-    /// this one; so it counts at no two of them.
-    pub fn hear(&mut self, ask: &Ask, now: Duration) {
-        let heard = ask.heard_ms.map(Duration::from_millis);
-        let Some(left) = heard.and_then(|heard| SILENT_AFTER.checked_sub(heard)) else {
+    /// The sender counts until it would switch to another allocator, based on the
+    /// time when it last received a response from this one. So no host counts at two
+    /// allocators at once.
+    pub fn record_follower(&mut self, request: &AllocatorRequest, now: Duration) {
+        let response_age = request.response_age_ms.map(Duration::from_millis);
+        let Some(remaining) =
+            response_age.and_then(|response_age| ALLOCATOR_TIMEOUT.checked_sub(response_age))
+        else {
             return;
         };
-        for group in &ask.groups {
-            let votes = self.votes.entry(*group).or_default();
-            votes.insert(ask.from.clone(), now + left);
+        for group in &request.groups {
+            let followers = self.followers.entry(*group).or_default();
+            followers.insert(request.from.clone(), now + remaining);
         }
     }
 
-    /// The part of a group's limits that this host hands out: that of the hosts
-    /// which keep to it.
+    /// Returns the fraction of a group's limits that this host may grant, which is
+    /// the fraction of all hosts that use it as their allocator.
     pub fn share(&self, group: Group, hosts: usize, now: Duration) -> f64 {
-        let votes = self.votes.get(&group);
-        let votes = votes.into_iter().flat_map(HashMap::values);
-        let count = votes.filter(|until| **until >= now).count();
+        let followers = self.followers.get(&group);
+        let followers = followers.into_iter().flat_map(HashMap::values);
+        let count = followers.filter(|until| **until >= now).count();
         (count as f64 / hosts.max(1) as f64).min(1.0)
     }
 
-    /// Takes what a host says of a customer, and grants it what it may have.
+    /// Applies the report of a host about a customer, and grants it further quota.
     pub fn grant(
         &mut self,
         host: &Holder,
-        wanted: &Wanted,
+        requested: &QuotaRequest,
         limit: CustomerLimit,
         tolerance: Tolerance,
         share: f64,
         now: Duration,
-    ) -> Granted {
-        let sizes = Sizes::new(limit, tolerance);
-        let account = self.accounts.entry(wanted.customer.clone());
-        let account = account.or_insert_with(|| Account::new(&sizes, now));
+    ) -> QuotaGrant {
+        let capacities = Capacities::new(limit, tolerance);
+        let account = self.accounts.entry(requested.customer.clone());
+        let account = account.or_insert_with(|| Account::new(&capacities, now));
         let rate = limit.rate_per_s * share;
-        account.fill(rate, &sizes, now);
-        let (served, begun) = account.report(host, wanted, now);
-        account.learned.add(served, begun, now);
-        self.learned.add(served, begun, now);
-        let usual = self.learned.requests_per_program(USUAL_REQUESTS);
-        let needed = account.learned.requests_per_program(usual);
-        account.settle_begins(host, wanted, begun, needed);
-        let granted = account.grant(host, wanted, &sizes, rate, needed);
-        // A program that is refused requests needs them all the same, and those that
-        // fail for it must not let more of them begin.
-        let refused = wanted.waiting.saturating_sub(granted.requests);
-        account.learned.add(f64::from(refused), 0.0, now);
+        account.refill(rate, &capacities, now);
+        let (served, started) = account.apply_report(host, requested, now);
+        account.usage.add(served, started, now);
+        self.usage.add(served, started, now);
+        let prior = self.usage.requests_per_program(DEFAULT_PROGRAM_REQUESTS);
+        let requests_per_start = account.usage.requests_per_program(prior);
+        account.settle_starts(host, requested, started, requests_per_start);
+        let granted = account.grant(host, requested, &capacities, rate, requests_per_start);
+        // A program whose requests are refused still needs them. Its refused
+        // requests count as well, so that programs which fail for lack of quota do
+        // not lower the estimate and let more of them start.
+        let refused = requested.waiting.saturating_sub(granted.requests);
+        account.usage.add(f64::from(refused), 0.0, now);
         granted
     }
 
-    /// Keeps the customers that are still declared.
+    /// Removes the customers that are no longer declared.
     pub fn retain(&mut self, is_declared: impl Fn(&CustomerName) -> bool) {
         self.accounts.retain(|name, _| is_declared(name));
     }
 
-    /// Counts what hosts had that are silent as used, and forgets them.
+    /// Counts the quota of unresponsive hosts as used, and removes outdated records.
     pub fn expire(&mut self, now: Duration) {
-        for votes in self.votes.values_mut() {
-            votes.retain(|_, until| *until >= now);
+        for followers in self.followers.values_mut() {
+            followers.retain(|_, until| *until >= now);
         }
         for account in self.accounts.values_mut() {
             account.expire(now);
         }
-        // Another host may have handed out a limit that this one was not asked for.
+        // Another host may have granted the limit of a customer for which this host
+        // received no requests.
         self.accounts
-            .retain(|_, account| now.saturating_sub(account.asked_at) < STALE_AFTER);
+            .retain(|_, account| now.saturating_sub(account.requested_at) < ACCOUNT_TIMEOUT);
     }
 }
 
-/// What the buckets of a customer hold.
+/// Capacities of a customer's buckets, in tokens.
 #[derive(Clone, Copy, Debug)]
-struct Sizes {
+struct Capacities {
     requests: f64,
-    begins: f64,
-    /// What is in the first when its allocator begins to know the customer.
-    first: f64,
+    starts: f64,
+    /// Initial tokens of the request bucket of a new account.
+    initial: f64,
 }
 
-impl Sizes {
+impl Capacities {
     fn new(limit: CustomerLimit, tolerance: Tolerance) -> Self {
         let allowed = limit.rate_per_s * tolerance.window.as_secs_f64() + limit.burst;
         let overage = allowed * tolerance.overage;
-        let requests = limit.burst + overage * OVERAGE_PART + tolerance.slack * SLACK_PART;
+        let requests = limit.burst + overage * OVERAGE_FRACTION + tolerance.slack * SLACK_FRACTION;
         Self {
             requests,
-            begins: requests + limit.rate_per_s * PROGRAM_TIME.as_secs_f64(),
-            first: overage * FIRST_OVERAGE_PART + tolerance.slack * FIRST_SLACK_PART,
+            starts: requests + limit.rate_per_s * PROGRAM_DURATION.as_secs_f64(),
+            initial: overage * INITIAL_OVERAGE_FRACTION + tolerance.slack * INITIAL_SLACK_FRACTION,
         }
     }
 }
 
 impl Account {
-    fn new(sizes: &Sizes, now: Duration) -> Self {
+    fn new(capacities: &Capacities, now: Duration) -> Self {
         Self {
-            requests: Bucket::new(sizes.first),
-            begins: Bucket::new(sizes.begins / 2.0),
+            requests: TokenBucket::new(capacities.initial),
+            starts: TokenBucket::new(capacities.starts / 2.0),
             hosts: HashMap::new(),
             held: 0,
-            asked_at: now,
-            learned: Learned::default(),
+            requested_at: now,
+            usage: ProgramUsage::default(),
         }
     }
 
-    /// Fills the buckets at a rate.
-    fn fill(&mut self, rate_per_s: f64, sizes: &Sizes, now: Duration) {
-        // Another host may have filled its own meanwhile. A customer that seldom asks
-        // needs no more than comes in this time.
-        let passed = now.saturating_sub(self.asked_at).min(SILENT_AFTER);
-        self.requests.fill(rate_per_s, sizes.requests, passed);
-        self.begins.fill(rate_per_s, sizes.begins, passed);
-        self.asked_at = now;
+    /// Refills the buckets at the given rate.
+    fn refill(&mut self, rate_per_s: f64, capacities: &Capacities, now: Duration) {
+        // Another host may have allocated the limit in the meantime. For a customer
+        // with rare requests, the tokens of this period are sufficient.
+        let elapsed = now.saturating_sub(self.requested_at).min(ALLOCATOR_TIMEOUT);
+        self.requests
+            .refill(rate_per_s, capacities.requests, elapsed);
+        self.starts.refill(rate_per_s, capacities.starts, elapsed);
+        self.requested_at = now;
     }
 
-    /// Takes what a host says of itself. Returns what it served since it last did,
-    /// and how many programs it began.
-    fn report(&mut self, host: &Holder, wanted: &Wanted, now: Duration) -> (f64, f64) {
+    /// Applies the report of a host. Returns the requests that it served and the
+    /// programs that it started since its last report.
+    fn apply_report(
+        &mut self,
+        host: &Holder,
+        requested: &QuotaRequest,
+        now: Duration,
+    ) -> (f64, f64) {
         let reported = HostAccount {
-            served: wanted.served,
-            begun: wanted.begun,
-            held: u64::from(wanted.held) + u64::from(wanted.held_begins),
-            allowed_begins: 0,
-            heard_at: now,
+            served: requested.served,
+            started: requested.started,
+            held: u64::from(requested.held) + u64::from(requested.held_starts),
+            granted_starts: 0,
+            reported_at: now,
         };
-        // Of a host that is new here, nobody knows when it served what it did.
-        let before = self.hosts.insert(host.clone(), reported);
-        let before = before.unwrap_or(HostAccount {
+        // It is unknown when a host without a record here served the requests that
+        // it reports, so they are not charged.
+        let previous = self.hosts.insert(host.clone(), reported);
+        let previous = previous.unwrap_or(HostAccount {
             held: 0,
             ..reported
         });
         if let Some(host) = self.hosts.get_mut(host) {
-            host.allowed_begins = before.allowed_begins;
+            host.granted_starts = previous.granted_starts;
         }
-        self.held = self.held.saturating_sub(before.held) + reported.held;
-        let served = difference(reported.served, before.served);
-        let begun = difference(reported.begun, before.begun);
-        self.requests.take(served);
-        (served, begun)
+        self.held = self.held.saturating_sub(previous.held) + reported.held;
+        let served = difference(reported.served, previous.served);
+        let started = difference(reported.started, previous.started);
+        self.requests.consume(served);
+        (served, started)
     }
 
-    /// Charges programs that a host began unasked, and takes back what was charged
-    /// for those that it did not begin.
-    fn settle_begins(&mut self, host: &Holder, wanted: &Wanted, begun: f64, needed: f64) {
+    /// Charges programs that a host started without a grant, and returns the tokens
+    /// of granted starts that the host did not use.
+    fn settle_starts(
+        &mut self,
+        host: &Holder,
+        requested: &QuotaRequest,
+        started: f64,
+        requests_per_start: f64,
+    ) {
         let Some(host) = self.hosts.get_mut(host) else {
             return;
         };
-        let held = f64::from(wanted.held_begins);
-        self.begins
-            .take((begun + held - host.allowed_begins as f64) * needed);
-        host.allowed_begins = u64::from(wanted.held_begins);
+        let held = f64::from(requested.held_starts);
+        self.starts
+            .consume((started + held - host.granted_starts as f64) * requests_per_start);
+        host.granted_starts = u64::from(requested.held_starts);
     }
 
     fn grant(
         &mut self,
         host: &Holder,
-        wanted: &Wanted,
-        sizes: &Sizes,
+        requested: &QuotaRequest,
+        capacities: &Capacities,
         rate_per_s: f64,
-        needed: f64,
-    ) -> Granted {
+        requests_per_start: f64,
+    ) -> QuotaGrant {
         let free = (self.requests.level() - self.held as f64).max(0.0);
-        let requests = at_most(wanted.waiting, free);
-        let left = free - f64::from(requests);
-        let beginnable = self.beginnable(left, sizes, needed);
-        let begins = at_most(wanted.waiting_begins, beginnable);
-        let ahead = at_most(wanted.expected, (left - f64::from(begins)) / AHEAD_PART);
-        let granted = u64::from(requests) + u64::from(begins) + u64::from(ahead);
+        let requests = grantable(requested.waiting, free);
+        let remaining = free - f64::from(requests);
+        let startable = self.startable(remaining, capacities, requests_per_start);
+        let starts = grantable(requested.waiting_starts, startable);
+        let prefetched = grantable(
+            requested.expected,
+            (remaining - f64::from(starts)) / PREFETCH_DIVISOR,
+        );
+        let granted = u64::from(requests) + u64::from(starts) + u64::from(prefetched);
         self.held += granted;
-        self.begins.take(f64::from(begins) * needed);
+        self.starts.consume(f64::from(starts) * requests_per_start);
         if let Some(host) = self.hosts.get_mut(host) {
             host.held += granted;
-            host.allowed_begins += u64::from(begins);
+            host.granted_starts += u64::from(starts);
         }
-        let reserved = sizes.requests / RESERVED_PART + 1.0;
-        let lacking = (reserved - left).max(needed - self.begins.level());
-        Granted {
-            customer: wanted.customer.clone(),
-            requests: requests + ahead,
-            begins,
-            wait_ms: wait_ms(1.0 - left, rate_per_s),
-            begin_wait_ms: wait_ms(lacking, rate_per_s),
+        let reserved = capacities.requests / RESERVE_DIVISOR + 1.0;
+        let missing = (reserved - remaining).max(requests_per_start - self.starts.level());
+        QuotaGrant {
+            customer: requested.customer.clone(),
+            requests: requests + prefetched,
+            starts,
+            wait_ms: wait_ms(1.0 - remaining, rate_per_s),
+            start_wait_ms: wait_ms(missing, rate_per_s),
         }
     }
 
-    /// Programs that may begin with what is left.
-    fn beginnable(&self, left: f64, sizes: &Sizes, needed: f64) -> f64 {
-        let beyond = left - sizes.requests / RESERVED_PART;
-        match self.requests.level() >= sizes.requests * AMPLE_PART {
-            true => beyond,
-            false => beyond.min(self.begins.level() / needed),
+    /// Returns the number of programs that may start, given the free request tokens.
+    fn startable(&self, remaining: f64, capacities: &Capacities, requests_per_start: f64) -> f64 {
+        let above_reserve = remaining - capacities.requests / RESERVE_DIVISOR;
+        match self.requests.level() >= capacities.requests * AMPLE_FRACTION {
+            true => above_reserve,
+            false => above_reserve.min(self.starts.level() / requests_per_start),
         }
     }
 
     fn expire(&mut self, now: Duration) {
         for host in self.hosts.values_mut() {
-            if now.saturating_sub(host.heard_at) > SILENT_AFTER * 2 {
-                self.requests.take(host.held as f64);
+            if now.saturating_sub(host.reported_at) > ALLOCATOR_TIMEOUT * 2 {
+                self.requests.consume(host.held as f64);
                 self.held = self.held.saturating_sub(host.held);
                 host.held = 0;
             }
         }
-        let is_known = |host: &HostAccount| now.saturating_sub(host.heard_at) < FORGOTTEN_AFTER;
-        self.hosts.retain(|_, host| is_known(host));
+        let is_recent =
+            |host: &HostAccount| now.saturating_sub(host.reported_at) < HOST_RECORD_TIMEOUT;
+        self.hosts.retain(|_, host| is_recent(host));
     }
 }
 
-/// How much a count has grown; it may have shrunk.
-fn difference(now: u64, before: u64) -> f64 {
-    now as f64 - before as f64
+/// Returns the signed change of a counter; counters can decrease.
+fn difference(now: u64, previous: u64) -> f64 {
+    now as f64 - previous as f64
 }
 
-/// As many as are wanted, and no more than there are whole ones.
-fn at_most(wanted: u32, there: f64) -> u32 {
-    wanted.min(there.max(0.0) as u32)
+/// Returns the largest whole number that exceeds neither the requested nor the
+/// available amount.
+fn grantable(requested: u32, available: f64) -> u32 {
+    requested.min(available.max(0.0) as u32)
 }
 
-/// How long it takes until so much more is there.
-fn wait_ms(lacking: f64, rate_per_s: f64) -> u64 {
-    let (least, most) = WAITS;
-    let seconds = (lacking / rate_per_s).clamp(0.0, most.as_secs_f64());
-    let wait = Duration::try_from_secs_f64(seconds).unwrap_or(most);
-    wait.max(least).as_millis() as u64
+/// Returns the time until the given number of tokens has been refilled, in
+/// milliseconds and within the bounds for retries.
+fn wait_ms(missing: f64, rate_per_s: f64) -> u64 {
+    let (shortest, longest) = RETRY_AFTER_BOUNDS;
+    let seconds = (missing / rate_per_s).clamp(0.0, longest.as_secs_f64());
+    let wait = Duration::try_from_secs_f64(seconds).unwrap_or(longest);
+    wait.max(shortest).as_millis() as u64
 }
--- a/coordination/src/gateway/limits/bucket.rs
+++ b/coordination/src/gateway/limits/bucket.rs
@@ -1,31 +1,32 @@
-//! Token buckets: what a limit allows now.
+//! Token buckets, which enforce a rate with bursts.
 
 use std::time::Duration;
 
-/// A bucket that fills at a rate up to a size. It may be overdrawn.
+/// A token bucket whose level may be negative.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Bucket {
+pub struct TokenBucket {
     level: f64,
 }
 
-impl Bucket {
-    /// A bucket with something in it.
+impl TokenBucket {
+    /// Creates a bucket that holds the given number of tokens.
     pub fn new(level: f64) -> Self {
         Self { level }
     }
 
-    /// Fills the bucket for some time.
-    pub fn fill(&mut self, rate_per_s: f64, size: f64, time: Duration) {
-        // No debt lasts longer than it takes to fill the bucket once.
-        self.level = (self.level + rate_per_s * time.as_secs_f64()).clamp(-size, size);
+    /// Adds the tokens of a period, up to the capacity.
+    pub fn refill(&mut self, rate_per_s: f64, capacity: f64, period: Duration) {
+        // The debt is limited to the capacity, so a refill from empty always pays it
+        // off.
+        self.level = (self.level + rate_per_s * period.as_secs_f64()).clamp(-capacity, capacity);
     }
 
-    /// Takes out of it, also more than is in it.
-    pub fn take(&mut self, amount: f64) {
+    /// Removes tokens, even if the bucket holds fewer.
+    pub fn consume(&mut self, amount: f64) {
         self.level -= amount;
     }
 
-    /// What is in it; negative when it is overdrawn.
+    /// Returns the tokens in the bucket, which are negative if it is overdrawn.
     pub fn level(&self) -> f64 {
         self.level
     }
--- a/coordination/src/gateway/limits/links.rs
+++ b/coordination/src/gateway/limits/links.rs
@@ -1,144 +1,149 @@
-//! Which host allocates a group's limits, as this host sees it.
+//! Chooses the allocator of each group of customers, and detects allocators that do
+//! not respond.
 //!
-//! Hosts choose by rendezvous hashing over the table of hosts, so that those that
-//! know the same choose the same. An allocator that has been silent is left for
-//! the next one, and returned to with its first word.
+//! The choice uses rendezvous hashing over the table of hosts, so that hosts with
+//! the same table make the same choice. If an allocator does not respond, the next
+//! one in the ranking takes its place until the first one responds again.
 
 use std::collections::HashMap;
 use std::time::Duration;
 
-use super::{GROUPS, Group};
+use super::{GROUP_COUNT, Group};
 use crate::gateway::gatherers::{Candidate, ranked_by, strong};
 use crate::gateway::ledger::Holder;
 
-/// Silence after which an allocator is left for the next one, and after which it
-/// counts a host no more that does not hear it. Three heartbeats: one datagram may
-/// be lost, and a host stand still for a moment.
-pub const SILENT_AFTER: Duration = Duration::from_millis(1_250);
-/// Longest time that a host says nothing to its allocators, in which it would
-/// neither know that they live nor count for them.
-const HEARTBEAT: Duration = Duration::from_millis(400);
-/// Allocators of a group that are tried, one after another.
-const MAX_TRIED: usize = 3;
-
-/// What is known of one run of another host.
+/// Time without a response after which a host switches to the next allocator. An
+/// allocator also stops counting a host that has not received its response for this
+/// time. It spans three heartbeats, so that one datagram may be lost and a host may
+/// pause briefly.
+pub const ALLOCATOR_TIMEOUT: Duration = Duration::from_millis(1_250);
+/// Maximum time between two messages to an allocator. They show whether the
+/// allocator responds, and keep this host counted there.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(400);
+/// Maximum number of allocators that are considered for a group, in order of rank.
+const MAX_CANDIDATES: usize = 3;
+
+/// State of the exchange with one process of another host.
 #[derive(Clone, Copy, Debug, Default)]
 struct Link {
-    said_at: Option<Duration>,
-    heard_at: Option<Duration>,
-    /// Since when it has been asked without an answer.
+    sent_at: Option<Duration>,
+    responded_at: Option<Duration>,
+    /// Time of the first request that has had no response since.
     unanswered_since: Option<Duration>,
 }
 
-/// The allocators of all groups.
+/// The ranked allocators of all groups, and the state of the exchange with each.
 #[derive(Debug)]
-pub struct Links<A> {
-    own_run: Holder,
-    /// Allocators by group, best first.
+pub struct AllocatorLinks<A> {
+    own_process: Holder,
+    /// Allocators by group, in descending order of rank.
     ranked: Vec<Vec<Candidate<A>>>,
     links: HashMap<Holder, Link>,
     number: u64,
 }
 
-impl<A: Clone> Links<A> {
-    /// No other host known.
-    pub fn new(own_run: Holder) -> Self {
+impl<A: Clone> AllocatorLinks<A> {
+    /// Creates a table without other hosts.
+    pub fn new(own_process: Holder) -> Self {
         Self {
-            own_run,
+            own_process,
             ranked: Vec::new(),
             links: HashMap::new(),
             number: 0,
         }
     }
 
-    /// Takes all hosts that are there, this one among them.
+    /// Replaces the set of known hosts, which includes this host.
     pub fn set_hosts(&mut self, hosts: Vec<Candidate<A>>) {
         self.links
-            .retain(|run, _| hosts.iter().any(|host| host.run == *run));
+            .retain(|process, _| hosts.iter().any(|host| host.run == *process));
         let hosts = strong(hosts);
-        let ranked = (0..GROUPS).map(|group| {
+        let ranked = (0..GROUP_COUNT).map(|group| {
             let name = format!("limits/{group}");
             let ranked = ranked_by(&name, hosts.iter()).into_iter();
-            ranked.take(MAX_TRIED).cloned().collect()
+            ranked.take(MAX_CANDIDATES).cloned().collect()
         });
         self.ranked = ranked.collect();
     }
 
-    /// The allocator of a group; none when all have been silent.
+    /// Returns the allocator of a group, or none if no allocator responds.
     pub fn current(&self, group: Group, now: Duration) -> Option<&Candidate<A>> {
         let ranked = self.ranked.get(usize::try_from(group).ok()?)?;
-        ranked.iter().find(|host| !self.is_silent(&host.run, now))
+        ranked
+            .iter()
+            .find(|host| !self.is_unresponsive(&host.run, now))
     }
 
-    /// All allocators that are to be told something, with the groups for which
-    /// this host keeps to them: none for those that are only asked whether they
-    /// answer again.
-    pub fn to_tell(&self, now: Duration) -> Vec<(Candidate<A>, Vec<Group>)> {
-        let mut told: Vec<(Candidate<A>, Vec<Group>)> = Vec::new();
-        for group in 0..GROUPS {
+    /// Returns all allocators to which messages are sent, each with the groups for
+    /// which this host uses it. An allocator without groups is only probed for
+    /// whether it responds again.
+    pub fn recipients(&self, now: Duration) -> Vec<(Candidate<A>, Vec<Group>)> {
+        let mut targets: Vec<(Candidate<A>, Vec<Group>)> = Vec::new();
+        for group in 0..GROUP_COUNT {
             let current = self.current(group, now).map(|host| &host.run);
             for host in self.ranked.get(group as usize).into_iter().flatten() {
                 let is_current = current == Some(&host.run);
-                let index = told.iter().position(|(known, _)| known.run == host.run);
+                let index = targets.iter().position(|(known, _)| known.run == host.run);
                 let index = index.unwrap_or_else(|| {
-                    told.push((host.clone(), Vec::new()));
-                    told.len() - 1
+                    targets.push((host.clone(), Vec::new()));
+                    targets.len() - 1
                 });
                 if is_current {
-                    told[index].1.push(group);
+                    targets[index].1.push(group);
                     break;
                 }
             }
         }
-        told
+        targets
     }
 
-    /// After what time a group's allocator is left for the next one if it stays
-    /// silent; none when all have been.
-    pub fn left(&self, group: Group, now: Duration) -> Option<Duration> {
+    /// Returns the time until this host switches to the next allocator of a group if
+    /// the current one does not respond, or none if no allocator responds.
+    pub fn time_to_switch(&self, group: Group, now: Duration) -> Option<Duration> {
         let current = self.current(group, now)?;
-        Some(SILENT_AFTER.saturating_sub(self.silence(&current.run, now)))
+        Some(ALLOCATOR_TIMEOUT.saturating_sub(self.unresponsive_time(&current.run, now)))
     }
 
-    fn is_silent(&self, run: &Holder, now: Duration) -> bool {
-        self.silence(run, now) > SILENT_AFTER
+    fn is_unresponsive(&self, process: &Holder, now: Duration) -> bool {
+        self.unresponsive_time(process, now) > ALLOCATOR_TIMEOUT
     }
 
-    /// For how long a host has not answered.
-    fn silence(&self, run: &Holder, now: Duration) -> Duration {
-        let link = self.links.get(run);
+    /// Returns the time for which a process has not responded.
+    fn unresponsive_time(&self, process: &Holder, now: Duration) -> Duration {
+        let link = self.links.get(process);
         let since = link.and_then(|link| link.unanswered_since);
         since.map_or(Duration::ZERO, |since| now.saturating_sub(since))
     }
 
-    /// Whether nothing was said to a host for too long.
-    pub fn is_due(&self, run: &Holder, now: Duration) -> bool {
-        let said_at = self.links.get(run).and_then(|link| link.said_at);
-        said_at.is_none_or(|said_at| now.saturating_sub(said_at) >= HEARTBEAT)
+    /// Returns whether a heartbeat to a process is due.
+    pub fn is_due(&self, process: &Holder, now: Duration) -> bool {
+        let sent_at = self.links.get(process).and_then(|link| link.sent_at);
+        sent_at.is_none_or(|sent_at| now.saturating_sub(sent_at) >= HEARTBEAT_INTERVAL)
     }
 
-    /// Takes note that a host is being asked. Returns the question's number.
-    pub fn say(&mut self, run: &Holder, now: Duration) -> u64 {
+    /// Records that a request is sent to a process. Returns the number of the
+    /// request.
+    pub fn record_request(&mut self, process: &Holder, now: Duration) -> u64 {
         self.number += 1;
-        let link = self.links.entry(run.clone()).or_default();
-        link.said_at = Some(now);
+        let link = self.links.entry(process.clone()).or_default();
+        link.sent_at = Some(now);
         link.unanswered_since = link.unanswered_since.or(Some(now));
         self.number
     }
 
-    /// Takes note that a host has answered.
-    pub fn heard(&mut self, run: &Holder, now: Duration) {
-        let link = self.links.entry(run.clone()).or_default();
-        link.heard_at = Some(now);
+    /// Records that a process has responded.
+    pub fn record_response(&mut self, process: &Holder, now: Duration) {
+        let link = self.links.entry(process.clone()).or_default();
+        link.responded_at = Some(now);
         link.unanswered_since = None;
     }
 
-    /// How long ago a host was last heard, in milliseconds.
-    pub fn heard_ms(&self, run: &Holder, now: Duration) -> Option<u64> {
-        if *run == self.own_run {
+    /// Returns the time since the last response of a process, in milliseconds.
+    pub fn response_age_ms(&self, process: &Holder, now: Duration) -> Option<u64> {
+        if *process == self.own_process {
             return Some(0);
         }
-        let heard_at = self.links.get(run)?.heard_at?;
-        u64::try_from(now.saturating_sub(heard_at).as_millis()).ok()
+        let responded_at = self.links.get(process)?.responded_at?;
+        u64::try_from(now.saturating_sub(responded_at).as_millis()).ok()
     }
 }
--- a/coordination/src/gateway/limits/message.rs
+++ b/coordination/src/gateway/limits/message.rs
@@ -1,4 +1,4 @@
-//! What hosts say to each other about customers' limits.
+//! Messages that hosts exchange about rate limits.
 
 use rosebend_state::deployment::CustomerName;
 use serde::{Deserialize, Serialize};
@@ -6,75 +6,84 @@
 use crate::gateway::ledger::Holder;
 use crate::gateway::limits::Group;
 
-/// What a host asks an allocator, and tells it.
+/// Message of a host to an allocator: its report and its quota requests.
 #[derive(Clone, Debug, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
-pub struct Ask {
-    /// The run that asks.
+pub struct AllocatorRequest {
+    /// Process that sends the request.
     pub from: Holder,
-    /// The run that is asked; another run of the same host does not answer.
+    /// Process to which the request is addressed; another process of the same host
+    /// does not respond.
     pub to: Holder,
-    /// Grows with each question of a run.
+    /// Number of the request, which increases with each request of a process.
     pub number: u64,
-    /// Groups of customers for which the one that asks keeps to the one that is
-    /// asked.
+    /// Groups of customers for which the sender uses the recipient as their
+    /// allocator.
     pub groups: Vec<Group>,
-    /// How long ago the one that asks last heard the one that is asked; none when
-    /// it never did.
-    pub heard_ms: Option<u64>,
-    /// What is wanted for each customer.
-    pub customers: Vec<Wanted>,
+    /// Time since the sender last received a response of the recipient, in
+    /// milliseconds; none if it never did.
+    #[serde(rename = "heard_ms")]
+    pub response_age_ms: Option<u64>,
+    /// Reports and quota requests of the customers.
+    pub customers: Vec<QuotaRequest>,
 }
 
-/// What a host has of a customer's limit, and what it wants.
+/// Report of a host about its use of a customer's limit, and the quota that it
+/// requests.
 #[derive(Clone, Debug, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
-pub struct Wanted {
-    /// The customer.
+pub struct QuotaRequest {
+    /// Name of the customer.
     pub customer: CustomerName,
-    /// Requests that this run has served, less those that did not run.
+    /// Requests that the sender has served, without those that were not run.
     pub served: u64,
-    /// Programs among them that were begun.
-    pub begun: u64,
-    /// Requests that it may serve without asking.
+    /// Programs that were started by these requests.
+    #[serde(rename = "begun")]
+    pub started: u64,
+    /// Requests that the sender may still serve from its local quota.
     pub held: u32,
-    /// Programs that it may begin without asking.
-    pub held_begins: u32,
-    /// Requests that wait.
+    /// Programs that the sender may still start from its local quota.
+    #[serde(rename = "held_begins")]
+    pub held_starts: u32,
+    /// Requests that wait for a grant, without those that start a program.
     pub waiting: u32,
-    /// Programs that wait to be begun.
-    pub waiting_begins: u32,
-    /// Requests that are likely to come before the next question.
+    /// Program starts that wait for a grant.
+    #[serde(rename = "waiting_begins")]
+    pub waiting_starts: u32,
+    /// Requests that are expected before the next quota request.
     pub expected: u32,
 }
 
-/// What an allocator answers.
+/// Response of an allocator.
 #[derive(Clone, Debug, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
-pub struct Answer {
-    /// The run that answers.
+pub struct AllocatorResponse {
+    /// Process that sends the response.
     pub from: Holder,
-    /// The run that asked.
+    /// Process that sent the request.
     pub to: Holder,
-    /// The question's number.
+    /// Number of the request.
     pub number: u64,
-    /// What is granted.
-    pub customers: Vec<Granted>,
+    /// Grants for the customers of the request.
+    pub customers: Vec<QuotaGrant>,
 }
 
-/// What a host may serve of a customer's requests, besides what it had.
+/// Quota that a host may use for a customer, in addition to what it holds.
 #[derive(Clone, Debug, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
-pub struct Granted {
-    /// The customer.
+pub struct QuotaGrant {
+    /// Name of the customer.
     pub customer: CustomerName,
-    /// Requests of what is under way.
+    /// Requests of programs in progress.
     pub requests: u32,
-    /// Programs that may begin, each with its first request.
-    pub begins: u32,
-    /// Milliseconds until there is likely to be more, where this was less than was
-    /// waited for: for requests, and for programs.
+    /// Program starts; each covers the first request of the program.
+    #[serde(rename = "begins")]
+    pub starts: u32,
+    /// Time until further quota is expected, in milliseconds. It is used if fewer
+    /// requests were granted than wait.
     pub wait_ms: u64,
-    /// The same for programs that wait to be begun.
-    pub begin_wait_ms: u64,
+    /// Time until further program starts are expected, in milliseconds. It is used
+    /// if fewer starts were granted than wait.
+    #[serde(rename = "begin_wait_ms")]
+    pub start_wait_ms: u64,
 }
--- a/coordination/tests/gateway_limits.rs
+++ b/coordination/tests/gateway_limits.rs
@@ -11,7 +11,7 @@
 
 use limit_world::{Fared, Sends, TOLERANCE, World, many};
 use rosebend_coordination::gateway::limits::allocator::Allocator;
-use rosebend_coordination::gateway::limits::message::Wanted;
+use rosebend_coordination::gateway::limits::message::QuotaRequest;
 use rosebend_state::deployment::CustomerLimit;
 
 /// Part of its limit that a customer usually needs.
@@ -222,14 +222,14 @@
     let mut allocator = Allocator::default();
     let mut served = 0;
     let mut ask = |allocator: &mut Allocator, now_ms: u64| {
-        let wanted = Wanted {
+        let wanted = QuotaRequest {
             customer: "customer".to_owned(),
             served,
-            begun: 0,
+            started: 0,
             held: 0,
-            held_begins: 0,
+            held_starts: 0,
             waiting: 10_000,
-            waiting_begins: 0,
+            waiting_starts: 0,
             expected: 0,
         };
         let now = Duration::from_millis(now_ms);
--- a/coordination/tests/limit_world/mod.rs
+++ b/coordination/tests/limit_world/mod.rs
@@ -9,8 +9,8 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use rosebend_coordination::gateway::gatherers::Candidate;
-use rosebend_coordination::gateway::limits::message::{Answer, Ask};
-use rosebend_coordination::gateway::limits::stock::Demand;
+use rosebend_coordination::gateway::limits::local_quota::RequestClass;
+use rosebend_coordination::gateway::limits::message::{AllocatorRequest, AllocatorResponse};
 use rosebend_coordination::gateway::limits::{Decision, HostLimits, Tolerance};
 use rosebend_state::deployment::CustomerLimit;
 
@@ -113,15 +113,15 @@
 
 #[derive(Clone, Debug)]
 enum Message {
-    Ask(Ask),
-    Answer(Answer),
+    Ask(AllocatorRequest),
+    Answer(AllocatorResponse),
 }
 
 #[derive(Debug)]
 struct Request {
     customer: usize,
     host: usize,
-    demand: Demand,
+    demand: RequestClass,
     since: Duration,
     left: u32,
     tries: u32,
@@ -294,7 +294,8 @@
             while expected > 0.0 {
                 if self.rng.random::<f64>() < expected {
                     self.fared[customer].begun += 1;
-                    let request = self.request(customer, Demand::Begin, sends.requests);
+                    let request =
+                        self.request(customer, RequestClass::ProgramStart, sends.requests);
                     self.arrive(request);
                 }
                 expected -= 1.0;
@@ -302,7 +303,7 @@
         }
     }
 
-    fn request(&mut self, customer: usize, demand: Demand, left: u32) -> Request {
+    fn request(&mut self, customer: usize, demand: RequestClass, left: u32) -> Request {
         Request {
             customer,
             host: 0,
@@ -330,9 +331,9 @@
         let name = name(request.customer);
         let limits = &mut self.hosts[request.host].limits;
         match limits.decide(&name, request.demand, self.now) {
-            Decision::Ask => {
-                limits.begin_waiting(&name, request.demand);
-                let ask = limits.asks_for(&name, self.now);
+            Decision::AwaitGrant => {
+                limits.add_waiting(&name, request.demand);
+                let ask = limits.urgent_request(&name, self.now);
                 let host = request.host;
                 self.waiting.push(request);
                 self.send_asks(host, ask);
@@ -346,17 +347,17 @@
             let name = name(request.customer);
             let limits = &mut self.hosts[request.host].limits;
             let mut decision = limits.decide(&name, request.demand, self.now);
-            if decision == Decision::Ask && self.now - request.since >= PATIENCE {
-                decision = limits.decide_unanswered(&name, request.demand, self.now);
+            if decision == Decision::AwaitGrant && self.now - request.since >= PATIENCE {
+                decision = limits.decide_after_timeout(&name, request.demand, self.now);
             }
-            if decision == Decision::Ask {
-                let ask = limits.asks_for(&name, self.now);
+            if decision == Decision::AwaitGrant {
+                let ask = limits.urgent_request(&name, self.now);
                 let host = request.host;
                 self.waiting.push(request);
                 self.send_asks(host, ask);
                 continue;
             }
-            limits.end_waiting(&name, request.demand);
+            limits.remove_waiting(&name, request.demand);
             self.decided(request, decision);
         }
     }
@@ -368,17 +369,17 @@
                 fared.served_ms.push(self.now.as_millis() as u64);
                 request.left -= 1;
                 request.tries = 0;
-                request.demand = Demand::Request;
+                request.demand = RequestClass::Continuation;
                 match request.left {
                     0 => fared.ended += 1,
                     _ => self.put_off(request, REQUEST_TIME),
                 }
             }
             Decision::Refuse(wait) => self.refused(request, wait),
-            Decision::NotKnown(wait) => {
+            Decision::AllocatorUnavailable(wait) => {
                 self.refused(request, wait.max(Duration::from_millis(200)));
             }
-            Decision::Ask => unreachable!("it waits"),
+            Decision::AwaitGrant => unreachable!("it waits"),
         }
     }
 
@@ -408,12 +409,16 @@
             }
             host.look_at = self.now + LOOK;
             host.limits.expire(self.now);
-            let asks = host.limits.asks(self.now);
+            let asks = host.limits.due_requests(self.now);
             self.send_asks(index, asks);
         }
     }
 
-    fn send_asks(&mut self, from: usize, asks: impl IntoIterator<Item = (usize, Ask)>) {
+    fn send_asks(
+        &mut self,
+        from: usize,
+        asks: impl IntoIterator<Item = (usize, AllocatorRequest)>,
+    ) {
         for (to, ask) in asks {
             self.send(from, to, Message::Ask(ask));
         }
@@ -444,12 +449,12 @@
             let limits = &mut self.hosts[to].limits;
             match message {
                 Message::Ask(ask) => {
-                    if let Some(answer) = limits.take_ask(&ask, self.now) {
+                    if let Some(answer) = limits.handle_request(&ask, self.now) {
                         self.send(to, from, Message::Answer(answer));
                     }
                 }
                 Message::Answer(answer) => {
-                    limits.take_answer(&answer, self.now);
+                    limits.handle_response(&answer, self.now);
                 }
             }
         }
--- a/gateway/src/call.rs
+++ b/gateway/src/call.rs
@@ -11,7 +11,7 @@
 use http::HeaderMap;
 use rosebend_coordination::gateway::admission::Urgency;
 use rosebend_coordination::gateway::fingerprint::Fingerprint;
-use rosebend_coordination::gateway::limits::stock::Demand;
+use rosebend_coordination::gateway::limits::local_quota::RequestClass;
 use rosebend_protocol::problem::Ran;
 use rosebend_state::deployment::{
     AttemptId, CallHeader, Customer, EventId, ProgramHeader, Route, ServiceName,
@@ -48,7 +48,7 @@
     /// Identifies its content.
     pub fingerprint: Fingerprint,
     /// What it counts for in its customer's limit, once it does.
-    pub counted: Cell<Option<Demand>>,
+    pub counted: Cell<Option<RequestClass>>,
     /// What is written of it.
     pub trail: Trail,
 }
--- a/gateway/src/limits.rs
+++ b/gateway/src/limits.rs
@@ -12,8 +12,8 @@
 
 use rosebend_coordination::gateway::gatherers::Candidate;
 use rosebend_coordination::gateway::ledger::Holder;
-use rosebend_coordination::gateway::limits::message::{Answer, Ask};
-use rosebend_coordination::gateway::limits::stock::Demand;
+use rosebend_coordination::gateway::limits::local_quota::RequestClass;
+use rosebend_coordination::gateway::limits::message::{AllocatorRequest, AllocatorResponse};
 use rosebend_coordination::gateway::limits::{Decision, HostLimits, Tolerance};
 use rosebend_state::deployment::{CustomerLimit, CustomerName};
 use rosebend_transport::clock::whole_ms;
@@ -40,8 +40,8 @@
 /// Messages that gateways exchange to enforce rate limits.
 #[derive(Debug, Deserialize, Serialize)]
 enum Message {
-    Ask(Ask),
-    Answer(Answer),
+    Ask(AllocatorRequest),
+    Answer(AllocatorResponse),
 }
 
 /// Customers' limits, as this host keeps to them and hands them out.
@@ -95,7 +95,7 @@
     }
 
     fn request_grant(&self, customer: &str, now: Duration) {
-        let ask = self.state.borrow_mut().asks_for(customer, now);
+        let ask = self.state.borrow_mut().urgent_request(customer, now);
         if let Some((to, ask)) = ask {
             self.send(to, &Message::Ask(ask));
         }
@@ -120,7 +120,7 @@
         .borrow_mut()
         .decide(customer, demand, now);
     let decision = match decision {
-        Decision::Ask => wait(gateway, customer, demand).await,
+        Decision::AwaitGrant => wait(gateway, customer, demand).await,
         decision => decision,
     };
     match decision {
@@ -129,11 +129,11 @@
             Ok(())
         }
         Decision::Refuse(wait) => Err(log_refusal(gateway, call, Refusal::OverLimit(wait))),
-        Decision::NotKnown(wait) => {
+        Decision::AllocatorUnavailable(wait) => {
             let refusal = Refusal::LimitNotKnown(wait.max(MIN_RETRY_AFTER));
             Err(log_refusal(gateway, call, refusal))
         }
-        Decision::Ask => Err(Refusal::LimitNotKnown(MIN_RETRY_AFTER)),
+        Decision::AwaitGrant => Err(Refusal::LimitNotKnown(MIN_RETRY_AFTER)),
     }
 }
 
@@ -142,10 +142,10 @@
     let customer = call.customer.as_ref();
     let customer = customer.map_or("", |customer| customer.name.as_str());
     let now = gateway.clock.now();
-    let facts = gateway.limits.state.borrow().facts(customer, now);
+    let facts = gateway.limits.state.borrow().status(customer, now);
     let demand = match demand_of(call) {
-        Demand::Begin => "begins-program",
-        Demand::Request => "under-way",
+        RequestClass::ProgramStart => "begins-program",
+        RequestClass::Continuation => "under-way",
     };
     let wait = refusal.retry_after().unwrap_or_default();
     let event = Event::new(EventKind::LimitRefused).customer(customer);
@@ -155,7 +155,7 @@
         Some(allocator) => event.host(allocator),
         None => event,
     };
-    call.trail.step(match facts.heard {
+    call.trail.step(match facts.response_age {
         Some(heard) => event.age(heard),
         None => event,
     });
@@ -166,14 +166,14 @@
 pub fn give_back(gateway: &Gateway, call: &Call) {
     if let (Some(customer), Some(demand)) = (&call.customer, call.counted.take()) {
         let mut state = gateway.limits.state.borrow_mut();
-        state.give_back(&customer.name, demand);
+        state.refund(&customer.name, demand);
     }
 }
 
-fn demand_of(call: &Call) -> Demand {
+fn demand_of(call: &Call) -> RequestClass {
     match call.begins_program() {
-        true => Demand::Begin,
-        false => Demand::Request,
+        true => RequestClass::ProgramStart,
+        false => RequestClass::Continuation,
     }
 }
 
@@ -181,12 +181,12 @@
 struct Waiting<'a> {
     limits: &'a Limits,
     customer: &'a str,
-    demand: Demand,
+    demand: RequestClass,
 }
 
 impl<'a> Waiting<'a> {
-    fn begin(limits: &'a Limits, customer: &'a str, demand: Demand) -> Self {
-        limits.state.borrow_mut().begin_waiting(customer, demand);
+    fn begin(limits: &'a Limits, customer: &'a str, demand: RequestClass) -> Self {
+        limits.state.borrow_mut().add_waiting(customer, demand);
         Self {
             limits,
             customer,
@@ -198,11 +198,11 @@
 impl Drop for Waiting<'_> {
     fn drop(&mut self) {
         let mut state = self.limits.state.borrow_mut();
-        state.end_waiting(self.customer, self.demand);
+        state.remove_waiting(self.customer, self.demand);
     }
 }
 
-async fn wait(gateway: &Gateway, customer: &str, demand: Demand) -> Decision {
+async fn wait(gateway: &Gateway, customer: &str, demand: RequestClass) -> Decision {
     let limits = &gateway.limits;
     let until = gateway.clock.now() + GRANT_TIMEOUT;
     let _waiting = Waiting::begin(limits, customer, demand);
@@ -212,14 +212,14 @@
         limits.request_grant(customer, now);
         // What this host allocates itself is there at once.
         let decision = limits.state.borrow_mut().decide(customer, demand, now);
-        if decision != Decision::Ask {
+        if decision != Decision::AwaitGrant {
             return decision;
         }
         if now >= until {
             return limits
                 .state
                 .borrow_mut()
-                .decide_unanswered(customer, demand, now);
+                .decide_after_timeout(customer, demand, now);
         }
         let pause = tokio::time::sleep(ASK_AGAIN.min(until - now));
         tokio::select! {
@@ -237,7 +237,7 @@
         let asks = {
             let mut state = gateway.limits.state.borrow_mut();
             state.expire(now);
-            state.asks(now)
+            state.due_requests(now)
         };
         for (to, ask) in asks {
             gateway.limits.send(to, &Message::Ask(ask));
@@ -255,13 +255,13 @@
     let now = gateway.clock.now();
     match message {
         Message::Ask(ask) => {
-            let answer = limits.state.borrow_mut().take_ask(&ask, now);
+            let answer = limits.state.borrow_mut().handle_request(&ask, now);
             if let Some(answer) = answer {
                 limits.send(from, &Message::Answer(answer));
             }
         }
         Message::Answer(answer) => {
-            if limits.state.borrow_mut().take_answer(&answer, now) {
+            if limits.state.borrow_mut().handle_response(&answer, now) {
                 limits.answered.notify_waiters();
             }
         }
