--- a/coordination/src/gateway/limits.rs
+++ b/coordination/src/gateway/limits.rs
@@ -46,7 +46,7 @@
 /// many hosts there are.
 const GROUP_COUNT: u64 = 16;
 /// Maximum number of customers in one message. With names of usual length, the
-/// datagram fits into one packet of any link; with names of the maximum length, it
+/// datagram needs no fragmentation on any link; with names of the maximum length, it
 /// has a few kilobytes.
 const MAX_CUSTOMERS: usize = 8;
 
@@ -58,7 +58,7 @@
     hash_parts(&[customer.as_bytes()]) % GROUP_COUNT
 }
 
-/// Limit on the requests that may be served beyond a customer's limit.
+/// Number of requests that may be served beyond a customer's limit.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Tolerance {
     /// Length of the time window over which a limit is checked.
--- a/coordination/src/gateway/limits/allocator.rs
+++ b/coordination/src/gateway/limits/allocator.rs
@@ -12,24 +12,25 @@
 use super::{Group, Tolerance};
 use crate::gateway::ledger::Holder;
 
-/// Part of the tolerated overage that a request bucket holds in addition to the
+/// Fraction of the tolerated overage that a request bucket holds in addition to the
 /// burst. The rest covers requests that are served without a grant, and requests
 /// that reach their endpoints later than they were counted.
 const OVERAGE_FRACTION: f64 = 0.5;
-/// Part of the tolerated slack that a request bucket holds in addition to the burst.
-/// Small customers need the slack most, because the requests of a few programs
-/// arrive in bursts.
+/// Fraction of the tolerated slack that a request bucket holds in addition to the
+/// burst. Small customers depend on the slack, because the requests of a few
+/// programs arrive in bursts.
 const SLACK_FRACTION: f64 = 0.75;
-/// Parts of the tolerated overage and slack that a new bucket holds. An allocator
-/// does not know what was served before it created the bucket. Together with the
-/// parts above, these stay below the full tolerance.
+/// Fractions of the tolerated overage and slack that a new bucket holds. An
+/// allocator has no record of what was served before it created the bucket. Together
+/// with the fractions above, these stay below the full tolerance.
 const INITIAL_OVERAGE_FRACTION: f64 = 0.4;
 const INITIAL_SLACK_FRACTION: f64 = 0.25;
-/// Divisor of the free tokens that limits how many a host may hold for requests that
-/// have not arrived yet. Tokens that one host holds are not available to others.
+/// Divisor of the free tokens. The quotient limits how many tokens a host may hold
+/// for requests that have not arrived yet, because tokens that one host holds are
+/// not available to others.
 const PREFETCH_DIVISOR: f64 = 16.0;
-/// Divisor of the bucket capacity that gives the tokens reserved for programs in
-/// progress. No further program starts while fewer are free.
+/// Divisor of the bucket capacity. The quotient is the number of tokens reserved for
+/// programs in progress; no further program starts while fewer are free.
 const RESERVE_DIVISOR: f64 = 12.0;
 /// Fill level from which on programs may start regardless of their expected
 /// requests.
@@ -40,8 +41,8 @@
 /// Assumed requests of a program before any was observed: a turn and two calls, a
 /// few times over.
 const DEFAULT_PROGRAM_REQUESTS: f64 = 10.0;
-/// Number of observed programs to which the assumed number of requests is equal in
-/// weight.
+/// Weight of the assumed number of requests in the estimate, as a number of observed
+/// programs.
 const DEFAULT_WEIGHT: f64 = 4.0;
 /// Half-life of the observations of program sizes.
 const OBSERVATION_HALF_LIFE: Duration = Duration::from_secs(10);
