--- a/coordination/src/gateway/admission.rs
+++ b/coordination/src/gateway/admission.rs
@@ -1,18 +1,20 @@
-//! Whether a new program is begun while the model engines have more work than
-//! slots.
+//! Decides whether a new program may start while requests queue at the model
+//! engines.
 //!
-//! Engines admit in order of arrival, so in a burst every turn of every program
-//! waits, and with a few turns each, all programs come late; those that were
-//! begun then keep the engines busy long after the burst. What is begun must be
-//! what can be carried. A turn of a program under way is never refused here: it
-//! has cost most already, and its caller has waited for it. The less urgent
-//! programs are refused first, and the more of them the longer the queues are, so
-//! that no kind is shut out as long as others are served.
+//! Engines serve requests in order of arrival. In a burst, every turn of every
+//! program waits in a queue, and after a few turns all programs are late. The
+//! programs that were started then keep the engines busy long after the burst. So
+//! only as many programs are started as the engines can serve. A turn of a program
+//! in progress is never refused here, because it has already consumed engine time
+//! and its caller has waited for it. The least urgent programs are refused first,
+//! and the refused share grows with the queue wait, so that no class of programs is
+//! shut out completely while others are served.
 //!
-//! A host knows the queues by the time to the first byte of its own turns, against
-//! the shortest that it has seen. That is news of the endpoints that it uses, in
-//! proportion to their use, and needs no message. What endpoints report of their
-//! load is no substitute: a full engine is slower besides.
+//! A host estimates the queue wait from the time to the first byte of its own turns,
+//! relative to the shortest time that it has observed. The estimate covers the
+//! endpoints that the host uses, in proportion to their use, and needs no messages
+//! between hosts. The load that endpoints report is no substitute, because an engine
+//! whose slots are all in use also runs each turn more slowly.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -20,57 +22,62 @@
 use rosebend_state::deployment::ServiceName;
 use rosebend_util::hash_parts;
 
-/// Weight of a new answer: about the last ten count, which a host has within a
-/// second.
-const ANSWER_WEIGHT: f64 = 0.1;
-/// Time in which what was heard loses half of its weight when nothing is heard: a
-/// host that refuses all must find out that the queues are gone.
-const HALF_LIFE: Duration = Duration::from_millis(500);
-/// By how much the shortest time grows in a second, so that engines which have
-/// become slower are not taken for full for ever. In an overload of a minute it
-/// grows by a third.
+/// Weight of a new sample. About the last ten samples dominate the estimate, and a
+/// host collects that many within a second.
+const SAMPLE_WEIGHT: f64 = 0.1;
+/// Half-life of the estimated queue wait while there are no new samples. Without
+/// the decay, a host that refuses all programs would not notice that the queues are
+/// empty.
+const WAIT_HALF_LIFE: Duration = Duration::from_millis(500);
+/// Relative growth per second of the shortest observed time, so that engines that
+/// have become slower are not considered full forever. In an overload of one minute
+/// it grows by a third.
 const IDLE_GROWTH_PER_S: f64 = 0.005;
-/// Queue wait from which on some of the less urgent programs are refused: about the
-/// noise of first bytes on engines without queues.
-const FIRST_REFUSED_MS: f64 = 25.0;
-/// Queue wait from which on all of them are. Twice as much, in each turn, makes an
-/// urgent program late.
-const ALL_REFUSED_MS: f64 = 75.0;
-/// Shortest time after which a refused caller may come back, in which a few
-/// hundred turns end at the engines of a deployment.
+/// Queue wait from which on some of the least urgent programs are refused, in
+/// milliseconds. It is about the variation of the time to the first byte on engines
+/// without queues.
+const REFUSAL_START_MS: f64 = 25.0;
+/// Queue wait from which on all of the least urgent programs are refused, in
+/// milliseconds. Twice that wait in each turn makes an urgent program late.
+const REFUSE_ALL_MS: f64 = 75.0;
+/// Minimum retry time after a refusal. A few hundred turns end at the engines of a
+/// deployment within it.
 const MIN_RETRY_AFTER: Duration = Duration::from_millis(250);
-/// Longest such time: callers follow it for a third of the time that they have.
+/// Maximum retry time after a refusal. Callers follow it up to a third of their own
+/// deadline.
 const MAX_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// How urgent a program is: by its customer first, among customers of the same rank
-/// by its route.
+/// Urgency of a program. The priority of its customer comes first, and the priority
+/// of its route breaks ties.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub enum Urgency {
-    /// Neither its customer nor its route is of the highest rank.
-    Usual,
-    /// Its route is.
+    /// Neither the customer nor the route has the highest priority.
+    Normal,
+    /// Only the route has the highest priority.
     Route,
-    /// Its customer is.
+    /// Only the customer has the highest priority.
     Customer,
-    /// Both are.
+    /// Both the customer and the route have the highest priority.
     Both,
 }
 
 impl Urgency {
-    /// The urgency by ranks, of which 0 is the highest; a customer may have none.
-    pub fn new(customer_rank: Option<u32>, route_rank: u32) -> Self {
-        match (customer_rank == Some(0), route_rank == 0) {
-            (false, false) => Self::Usual,
+    /// Returns the urgency for two priorities, of which 0 is the highest. A customer
+    /// may have none.
+    pub fn new(customer_priority: Option<u32>, route_priority: u32) -> Self {
+        match (customer_priority == Some(0), route_priority == 0) {
+            (false, false) => Self::Normal,
             (false, true) => Self::Route,
             (true, false) => Self::Customer,
             (true, true) => Self::Both,
         }
     }
 
-    /// By how much longer queues must be for such programs to be refused.
-    fn factor(self) -> f64 {
+    /// Returns the factor by which the queue wait must be longer for such programs
+    /// to be refused.
+    fn wait_factor(self) -> f64 {
         match self {
-            Self::Usual => 1.0,
+            Self::Normal => 1.0,
             Self::Route => 2.0,
             Self::Customer => 3.0,
             Self::Both => 4.0,
@@ -78,53 +85,56 @@
     }
 }
 
-/// What was heard of the queues of a service.
+/// Observations of the queues of a service.
 #[derive(Clone, Copy, Debug)]
-struct Queues {
-    /// Smoothed time to the first byte.
+struct QueueEstimate {
+    /// Smoothed time to the first byte, in milliseconds.
     first_byte_ms: f64,
-    /// The shortest that it was, for the time without queues.
+    /// Shortest time to the first byte, which approximates the time without queues,
+    /// in milliseconds.
     idle_ms: f64,
-    heard_at: Duration,
+    updated_at: Duration,
 }
 
-/// The queues of all services, as this host estimates them.
+/// Queue estimates of one host for all services.
 #[derive(Debug, Default)]
 pub struct Admission {
-    services: HashMap<ServiceName, Queues>,
+    services: HashMap<ServiceName, QueueEstimate>,
 }
 
 impl Admission {
-    /// Takes the time to the first byte of a turn.
-    pub fn note(&mut self, service: &str, first_byte: Duration, now: Duration) {
+    /// Records the time to the first byte of a turn.
+    pub fn record_first_byte(&mut self, service: &str, first_byte: Duration, now: Duration) {
         let sample_ms = first_byte.as_secs_f64() * 1_000.0;
-        let Some(known) = self.services.get_mut(service) else {
-            let queues = Queues {
+        let Some(estimate) = self.services.get_mut(service) else {
+            let estimate = QueueEstimate {
                 first_byte_ms: sample_ms,
                 idle_ms: sample_ms,
-                heard_at: now,
+                updated_at: now,
             };
-            self.services.insert(service.to_owned(), queues);
+            self.services.insert(service.to_owned(), estimate);
             return;
         };
-        let wait_ms = known.wait_ms(now);
-        let before_ms = known.idle_ms + wait_ms;
-        let age = now.saturating_sub(known.heard_at);
-        let grown_ms = known.idle_ms * (1.0 + IDLE_GROWTH_PER_S * age.as_secs_f64());
-        known.first_byte_ms = before_ms + (sample_ms - before_ms) * ANSWER_WEIGHT;
-        known.idle_ms = grown_ms.min(known.first_byte_ms);
-        known.heard_at = now;
+        let wait_ms = estimate.wait_ms(now);
+        let previous_ms = estimate.idle_ms + wait_ms;
+        let age = now.saturating_sub(estimate.updated_at);
+        let idle_limit_ms = estimate.idle_ms * (1.0 + IDLE_GROWTH_PER_S * age.as_secs_f64());
+        estimate.first_byte_ms = previous_ms + (sample_ms - previous_ms) * SAMPLE_WEIGHT;
+        estimate.idle_ms = idle_limit_ms.min(estimate.first_byte_ms);
+        estimate.updated_at = now;
     }
 
-    /// How long a turn waits in the queue of an endpoint, in milliseconds.
+    /// Returns the estimated time that a turn waits in the queue of an endpoint, in
+    /// milliseconds.
     pub fn wait_ms(&self, service: &str, now: Duration) -> f64 {
-        let known = self.services.get(service);
-        known.map_or(0.0, |known| known.wait_ms(now))
+        let estimate = self.services.get(service);
+        estimate.map_or(0.0, |estimate| estimate.wait_ms(now))
     }
 
-    /// When the caller of a new program may come back, if it is not begun now.
-    /// `attempt` spreads the choice.
-    pub fn refuse(
+    /// Decides whether a new program is refused, and returns the time after which
+    /// its caller may retry, or none if the program may start. A hash of `attempt`
+    /// selects which programs are refused.
+    pub fn refusal_delay(
         &self,
         service: &str,
         urgency: Urgency,
@@ -132,19 +142,19 @@
         now: Duration,
     ) -> Option<Duration> {
         let wait_ms = self.wait_ms(service, now);
-        let beyond_ms = wait_ms / urgency.factor() - FIRST_REFUSED_MS;
-        let share = beyond_ms / (ALL_REFUSED_MS - FIRST_REFUSED_MS);
-        let place = hash_parts(&[attempt.as_bytes()]) % 1_024;
-        let is_refused = (place as f64) < share * 1_024.0;
+        let excess_ms = wait_ms / urgency.wait_factor() - REFUSAL_START_MS;
+        let share = excess_ms / (REFUSE_ALL_MS - REFUSAL_START_MS);
+        let hash_slot = hash_parts(&[attempt.as_bytes()]) % 1_024;
+        let is_refused = (hash_slot as f64) < share * 1_024.0;
         let retry_after = Duration::from_secs_f64(wait_ms * 2.0 / 1_000.0);
         is_refused.then(|| retry_after.clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER))
     }
 }
 
-impl Queues {
+impl QueueEstimate {
     fn wait_ms(&self, now: Duration) -> f64 {
-        let age = now.saturating_sub(self.heard_at);
-        let half_lives = age.as_secs_f64() / HALF_LIFE.as_secs_f64();
+        let age = now.saturating_sub(self.updated_at);
+        let half_lives = age.as_secs_f64() / WAIT_HALF_LIFE.as_secs_f64();
         (self.first_byte_ms - self.idle_ms) * 0.5_f64.powf(half_lives)
     }
 }
--- a/coordination/tests/gateway_admission.rs
+++ b/coordination/tests/gateway_admission.rs
@@ -1,12 +1,13 @@
-//! A burst beyond what the engines carry: how many programs end in time while it
-//! lasts and once it is over, with all begun and with admission.
+//! Simulates a burst that exceeds the capacity of the engines, and compares the
+//! programs that complete in time, during the burst and after it, with and without
+//! admission control.
 //!
-//! The pattern is that of overload that outlasts its load: engines serve in order
-//! of arrival, so that in a burst each turn of each program waits; programs begun
-//! in it keep the queues up when new ones come at the usual rate again. The
-//! figures are those of a deployment of 40 engines with 8 slots, turns of 280 ms,
-//! programs of 4 turns with a pause of 300 ms, and an aim of 1.4 times the time on
-//! idle engines and 250 ms.
+//! The test guards against an overload that outlasts the burst. Engines serve
+//! requests in order of arrival, so each turn of each program waits during a burst,
+//! and the programs started in it keep the queues long when the arrival rate is
+//! normal again. The simulated deployment has 40 engines with 8 slots. Turns take
+//! 280 ms, and programs have 4 turns with a pause of 300 ms. The target is 1.4 times
+//! the duration on idle engines plus 250 ms.
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, VecDeque};
@@ -24,14 +25,15 @@
 const FIRST_BYTE_MS: u64 = 40;
 const PAUSE_MS: u64 = 300;
 const TURNS: u64 = 4;
-const AIM_MS: u64 = (TURNS * TURN_MS + (TURNS - 1) * PAUSE_MS) * 14 / 10 + 250;
-/// What the engines carry is 285 programs a second.
-const USUAL_PER_S: u64 = 200;
+const TARGET_MS: u64 = (TURNS * TURN_MS + (TURNS - 1) * PAUSE_MS) * 14 / 10 + 250;
+/// Normal arrival rate of programs. The engines can serve 285 programs per second.
+const NORMAL_PER_S: u64 = 200;
 const BURST_PER_S: u64 = 560;
 const SERVICE: &str = "models";
 
-/// Usual load for 4 s, a burst of 8 s, and usual load for 8 s.
-const PHASES: [(u64, u64); 3] = [(USUAL_PER_S, 4), (BURST_PER_S, 8), (USUAL_PER_S, 8)];
+/// Arrival rate and duration in seconds of each phase: normal load for 4 s, a burst
+/// for 8 s, and normal load for 8 s.
+const PHASES: [(u64, u64); 3] = [(NORMAL_PER_S, 4), (BURST_PER_S, 8), (NORMAL_PER_S, 8)];
 
 #[derive(Clone, Copy, Eq, Ord, PartialEq, PartialOrd)]
 enum Event {
@@ -41,67 +43,67 @@
 
 struct Program {
     phase: usize,
-    began_ms: u64,
+    started_ms: u64,
     turns_left: u64,
 }
 
 #[derive(Clone, Copy, Debug, Default)]
-struct Fared {
-    asked: u64,
+struct PhaseStats {
+    offered: u64,
     in_time: u64,
     refused: u64,
 }
 
-struct World {
+struct Simulation {
     now_ms: u64,
     events: BinaryHeap<Reverse<(u64, Event)>>,
     programs: Vec<Program>,
-    /// When each turn that waits was asked for, and its program.
+    /// Time at which each waiting turn was queued, and its program, by engine.
     queues: Vec<VecDeque<(u64, usize)>>,
     running: Vec<usize>,
     admission: Option<Admission>,
-    fared: [Fared; 3],
+    stats: [PhaseStats; 3],
     random: ChaCha8Rng,
 }
 
-fn play(with_admission: bool) -> [Fared; 3] {
-    let mut world = World {
+fn simulate(with_admission: bool) -> [PhaseStats; 3] {
+    let mut simulation = Simulation {
         now_ms: 0,
         events: BinaryHeap::new(),
         programs: Vec::new(),
         queues: vec![VecDeque::new(); ENGINES],
         running: vec![0; ENGINES],
         admission: with_admission.then(Admission::default),
-        fared: [Fared::default(); 3],
+        stats: [PhaseStats::default(); 3],
         random: ChaCha8Rng::seed_from_u64(1),
     };
-    world.plan();
-    while let Some(Reverse((at_ms, event))) = world.events.pop() {
-        world.now_ms = at_ms;
+    simulation.schedule_programs();
+    while let Some(Reverse((at_ms, event))) = simulation.events.pop() {
+        simulation.now_ms = at_ms;
         match event {
-            Event::Arrives { program } => world.arrives(program),
-            Event::Ends { engine, program } => world.ends(engine, program),
+            Event::Arrives { program } => simulation.handle_arrival(program),
+            Event::Ends { engine, program } => simulation.handle_turn_end(engine, program),
         }
     }
-    world.fared
+    simulation.stats
 }
 
-impl World {
-    fn plan(&mut self) {
-        let mut from_ms = 0;
+impl Simulation {
+    fn schedule_programs(&mut self) {
+        let mut phase_start_ms = 0;
         for (phase, (per_second, seconds)) in PHASES.into_iter().enumerate() {
             for _ in 0..per_second * seconds {
-                let began_ms = from_ms + self.random.random_range(0..seconds * 1_000);
+                let started_ms = phase_start_ms + self.random.random_range(0..seconds * 1_000);
                 let program = self.programs.len();
                 self.programs.push(Program {
                     phase,
-                    began_ms,
+                    started_ms,
                     turns_left: TURNS,
                 });
                 let event = Event::Arrives { program };
-                self.events.push(Reverse((began_ms, event)));
+                self.events.push(Reverse((started_ms, event)));
             }
-            from_ms += seconds * 1_000;
+            phase_start_ms += seconds * 1_000;
         }
     }
 
@@ -109,57 +111,62 @@
         Duration::from_millis(self.now_ms)
     }
 
-    fn arrives(&mut self, program: usize) {
+    fn handle_arrival(&mut self, program: usize) {
         let Program {
             phase, turns_left, ..
         } = self.programs[program];
         if turns_left == TURNS {
-            self.fared[phase].asked += 1;
+            self.stats[phase].offered += 1;
             let attempt = program.to_string();
             let now = self.now();
             let admission = self.admission.as_ref();
-            let refused =
-                admission.and_then(|known| known.refuse(SERVICE, Urgency::Usual, &attempt, now));
+            let refused = admission.and_then(|admission| {
+                admission.refusal_delay(SERVICE, Urgency::Normal, &attempt, now)
+            });
             if refused.is_some() {
-                self.fared[phase].refused += 1;
+                self.stats[phase].refused += 1;
                 return;
             }
         }
-        // The less loaded of a few, as hosts choose that know a part.
-        let few = (0..4).map(|_| self.random.random_range(0..ENGINES));
-        let few: Vec<usize> = few.collect();
+        // The least loaded of four random engines is chosen, because hosts have
+        // partial information about the load.
+        let candidates = (0..4).map(|_| self.random.random_range(0..ENGINES));
+        let candidates: Vec<usize> = candidates.collect();
         let load = |engine: &usize| self.running[*engine] + self.queues[*engine].len();
-        let engine = few.into_iter().min_by_key(load).expect("four are a few");
+        let engine = candidates
+            .into_iter()
+            .min_by_key(load)
+            .expect("there are four candidates");
         self.queues[engine].push_back((self.now_ms, program));
         self.run_next(engine);
     }
 
     fn run_next(&mut self, engine: usize) {
         while self.running[engine] < SLOTS {
-            let Some((asked_ms, program)) = self.queues[engine].pop_front() else {
+            let Some((queued_ms, program)) = self.queues[engine].pop_front() else {
                 return;
             };
             self.running[engine] += 1;
             let now = self.now();
-            let waited = Duration::from_millis(self.now_ms - asked_ms + FIRST_BYTE_MS);
+            let waited = Duration::from_millis(self.now_ms - queued_ms + FIRST_BYTE_MS);
             if let Some(admission) = &mut self.admission {
-                admission.note(SERVICE, waited, now);
+                admission.record_first_byte(SERVICE, waited, now);
             }
             let event = Event::Ends { engine, program };
             self.events.push(Reverse((self.now_ms + TURN_MS, event)));
         }
     }
 
-    fn ends(&mut self, engine: usize, program: usize) {
+    fn handle_turn_end(&mut self, engine: usize, program: usize) {
         self.running[engine] -= 1;
         self.run_next(engine);
-        let known = &mut self.programs[program];
-        known.turns_left -= 1;
-        if known.turns_left > 0 {
+        let entry = &mut self.programs[program];
+        entry.turns_left -= 1;
+        if entry.turns_left > 0 {
             let event = Event::Arrives { program };
             self.events.push(Reverse((self.now_ms + PAUSE_MS, event)));
-        } else if self.now_ms - known.began_ms <= AIM_MS {
-            self.fared[known.phase].in_time += 1;
+        } else if self.now_ms - entry.started_ms <= TARGET_MS {
+            self.stats[entry.phase].in_time += 1;
         }
     }
 }
@@ -169,24 +176,24 @@
     let mut table = String::new();
     let mut share_in_time = Vec::new();
     for with_admission in [false, true] {
-        let fared = play(with_admission);
-        let percent = |fared: &Fared| fared.in_time * 100 / fared.asked;
-        share_in_time.push(fared.each_ref().map(percent));
-        for (phase, fared) in ["before", "burst", "after"].iter().zip(&fared) {
+        let stats = simulate(with_admission);
+        let percent = |stats: &PhaseStats| stats.in_time * 100 / stats.offered;
+        share_in_time.push(stats.each_ref().map(percent));
+        for (phase, stats) in ["before", "burst", "after"].iter().zip(&stats) {
             writeln!(
                 table,
                 "admission {with_admission}, {phase}: {} % of {} in time, {} refused",
-                percent(fared),
-                fared.asked,
-                fared.refused
+                percent(stats),
+                stats.offered,
+                stats.refused
             )
             .unwrap();
         }
     }
     let [_, [before, burst, after]] = share_in_time[..] else {
-        panic!("two plays");
+        panic!("two simulations were run");
     };
-    // The engines carry half of the burst's programs.
+    // The engines can serve half of the programs of the burst.
     assert!(before >= 99 && burst >= 40 && after >= 85, "{table}");
     insta::assert_snapshot!(table);
 }
@@ -198,36 +205,36 @@
     let refused = |admission: &Admission, urgency, now| {
         let attempts = (0..100).map(|number| format!("a{number}"));
         let refused =
-            attempts.filter_map(|attempt| admission.refuse(SERVICE, urgency, &attempt, now));
+            attempts.filter_map(|attempt| admission.refusal_delay(SERVICE, urgency, &attempt, now));
         refused.count()
     };
-    let took = |ms| Duration::from_millis(ms);
+    let millis = |ms| Duration::from_millis(ms);
     for _ in 0..50 {
-        admission.note(SERVICE, took(40), now);
+        admission.record_first_byte(SERVICE, millis(40), now);
     }
-    assert_eq!(refused(&admission, Urgency::Usual, now), 0);
+    assert_eq!(refused(&admission, Urgency::Normal, now), 0);
     for _ in 0..50 {
-        admission.note(SERVICE, took(90), now);
+        admission.record_first_byte(SERVICE, millis(90), now);
     }
-    let less_urgent = refused(&admission, Urgency::Usual, now);
-    assert!((30..90).contains(&less_urgent), "{less_urgent}");
+    let normal = refused(&admission, Urgency::Normal, now);
+    assert!((30..90).contains(&normal), "{normal}");
     let urgent = refused(&admission, Urgency::Route, now);
-    assert!(urgent < less_urgent / 2, "{urgent} and {less_urgent}");
-    // Nothing is heard for a while: somebody must find out.
+    assert!(urgent < normal / 2, "{urgent} and {normal}");
+    // Without new samples the estimate decays, so that programs are admitted again.
     assert_eq!(
-        refused(&admission, Urgency::Usual, now + Duration::from_secs(3)),
+        refused(&admission, Urgency::Normal, now + Duration::from_secs(3)),
         0
     );
-    // Engines that are slow at all times are not full.
+    // Engines that are always slow are not considered full.
     let mut slow = Admission::default();
     for _ in 0..50 {
-        slow.note(SERVICE, took(900), now);
+        slow.record_first_byte(SERVICE, millis(900), now);
     }
-    assert_eq!(refused(&slow, Urgency::Usual, now), 0);
+    assert_eq!(refused(&slow, Urgency::Normal, now), 0);
 }
 
 #[test]
-fn a_customers_rank_goes_before_its_routes() {
+fn the_priority_of_a_customer_outweighs_that_of_its_route() {
     let order = [
         Urgency::new(Some(1), 1),
         Urgency::new(Some(1), 0),
@@ -238,15 +245,15 @@
     assert_eq!(Urgency::new(None, 0), Urgency::new(Some(2), 0));
     let mut admission = Admission::default();
     let at = |ms| Duration::from_millis(ms);
-    admission.note(SERVICE, at(20), at(0));
+    admission.record_first_byte(SERVICE, at(20), at(0));
     for number in 1..60 {
-        admission.note(SERVICE, at(120), at(number));
+        admission.record_first_byte(SERVICE, at(120), at(number));
     }
     let refused = order.map(|urgency| {
         let attempts = (0..200).map(|number| number.to_string());
         let refused = attempts.filter(|attempt| {
-            let comeback = admission.refuse(SERVICE, urgency, attempt, at(60));
-            comeback.is_some()
+            let retry_after = admission.refusal_delay(SERVICE, urgency, attempt, at(60));
+            retry_after.is_some()
         });
         refused.count()
     });
--- a/gateway/src/exchange.rs
+++ b/gateway/src/exchange.rs
@@ -205,7 +205,7 @@
         if self.call.route.kind == RouteKind::Streaming {
             let now = self.gateway.clock.now();
             let mut admission = self.gateway.admission.borrow_mut();
-            admission.note(&self.call.service, elapsed, now);
+            admission.record_first_byte(&self.call.service, elapsed, now);
         }
         Ok(Exchanged {
             response,
--- a/gateway/src/turn.rs
+++ b/gateway/src/turn.rs
@@ -77,7 +77,8 @@
     }
     let admission = gateway.admission.borrow();
     let now = gateway.clock.now();
-    let retry_after = admission.refuse(&call.service, call.urgency(), &call.header.attempt, now);
+    let retry_after =
+        admission.refusal_delay(&call.service, call.urgency(), &call.header.attempt, now);
     retry_after.map_or(Ok(()), |retry_after| Err(Refusal::Overloaded(retry_after)))
 }
 
