--- a/coordination/src/gateway/refusals.rs
+++ b/coordination/src/gateway/refusals.rs
@@ -1,71 +1,74 @@
-//! Entries of the table of endpoints that name none to use, each told once.
+//! Tracks entries of the endpoint table that describe no usable endpoint, so that
+//! each is logged once.
 
 use std::collections::{HashMap, HashSet};
 
 use rosebend_state::deployment::InstanceId;
 
-/// Entries that are remembered at most. Those beyond are not logged: whoever
-/// can write that many could fill the log.
-const MAX_NOTED: usize = 256;
+/// Maximum number of tracked entries. Further entries are not logged, because a
+/// writer of that many entries could flood the log.
+const MAX_TRACKED: usize = 256;
 
-/// How a refused entry is taken note of.
+/// Result of recording a refused entry.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Noted {
-    /// It was not refused before: it is logged and counted.
+pub enum RecordOutcome {
+    /// The entry was not refused before; it is logged and counted.
     New,
-    /// It was refused before: there is nothing to tell.
-    Known,
-    /// Too many are remembered: it is counted each time that it is read.
-    Beyond,
+    /// The entry was already refused; it is neither logged nor counted again.
+    AlreadyRefused,
+    /// Too many entries are tracked; the entry is not logged, and is counted each
+    /// time it is read.
+    LimitReached,
 }
 
-/// Entries that are refused now, with the word that says why.
+/// The entries that are currently refused, with the reason code of each.
 #[derive(Debug, Default)]
-pub struct Refusals {
-    /// At most [`MAX_NOTED`].
-    words: HashMap<InstanceId, &'static str>,
+pub struct RefusedEntries {
+    /// Reason codes by instance; at most [`MAX_TRACKED`] entries.
+    reasons: HashMap<InstanceId, &'static str>,
 }
 
-impl Refusals {
-    /// Notes that an entry is refused.
-    pub fn note(&mut self, instance: &str, word: &'static str) -> Noted {
-        if self.words.contains_key(instance) {
-            return Noted::Known;
+impl RefusedEntries {
+    /// Records that an entry is refused.
+    pub fn record(&mut self, instance: &str, reason: &'static str) -> RecordOutcome {
+        if self.reasons.contains_key(instance) {
+            return RecordOutcome::AlreadyRefused;
         }
-        if self.words.len() >= MAX_NOTED {
-            return Noted::Beyond;
+        if self.reasons.len() >= MAX_TRACKED {
+            return RecordOutcome::LimitReached;
         }
-        self.words.insert(instance.to_owned(), word);
-        Noted::New
+        self.reasons.insert(instance.to_owned(), reason);
+        RecordOutcome::New
     }
 
-    /// Notes that an entry is not refused any more, be it gone or good. Tells
-    /// whether that is to be logged.
-    pub fn end(&mut self, instance: &str) -> bool {
-        self.words.remove(instance).is_some()
+    /// Records that an entry has been removed or is valid again. Returns whether
+    /// that has to be logged.
+    pub fn clear(&mut self, instance: &str) -> bool {
+        self.reasons.remove(instance).is_some()
     }
 
-    /// Why an entry is refused; none when it is not.
-    pub fn word(&self, instance: &str) -> Option<&'static str> {
-        self.words.get(instance).copied()
+    /// Returns the reason code of a refused entry, or none if the entry is not
+    /// refused.
+    pub fn reason(&self, instance: &str) -> Option<&'static str> {
+        self.reasons.get(instance).copied()
     }
 
-    /// Entries that are refused for the reason that a word says.
-    pub fn for_word(&self, word: &str) -> Vec<InstanceId> {
-        let words = self.words.iter();
-        let matching = words.filter(|(_, known)| **known == word);
+    /// Returns the entries that are refused for the given reason.
+    pub fn with_reason(&self, reason: &str) -> Vec<InstanceId> {
+        let reasons = self.reasons.iter();
+        let matching = reasons.filter(|(_, other)| **other == reason);
         matching.map(|(instance, _)| instance.clone()).collect()
     }
 
-    /// Ends the refusals of entries that are not among those of a whole read,
-    /// and tells which.
+    /// Removes the entries that do not occur in a complete read of the table, and
+    /// returns them.
     pub fn retain(&mut self, listed: &HashSet<&str>) -> Vec<InstanceId> {
-        let instances = self.words.keys();
-        let gone = instances.filter(|instance| !listed.contains(instance.as_str()));
-        let gone: Vec<InstanceId> = gone.cloned().collect();
-        for instance in &gone {
-            self.words.remove(instance);
+        let instances = self.reasons.keys();
+        let removed = instances.filter(|instance| !listed.contains(instance.as_str()));
+        let removed: Vec<InstanceId> = removed.cloned().collect();
+        for instance in &removed {
+            self.reasons.remove(instance);
         }
-        gone
+        removed
     }
 }
--- a/coordination/src/gateway/retry_after.rs
+++ b/coordination/src/gateway/retry_after.rs
@@ -1,17 +1,19 @@
-//! When a caller that was refused may retry.
+//! Computes when a refused caller may retry.
 
 use std::time::Duration;
 
-/// Shortest retry time while the store is unavailable: the retry goes to another
-/// host, which may reach it.
+/// Minimum retry time while the store is unavailable. The retry goes to another
+/// host, which may reach the store.
 const MIN_RETRY_AFTER: Duration = Duration::from_millis(250);
-/// Longest such time: callers wait for a third of the time that they have at most.
+/// Maximum retry time while the store is unavailable. Callers wait for at most a
+/// third of their own deadline.
 const MAX_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// When to retry against a store that has been unavailable for `away`.
+/// Returns the time after which to retry when the store has been unavailable for
+/// `outage`.
 ///
-/// An outage that has lasted for a while may be expected to last as long again, and
-/// a caller with few retries outlasts more of it the longer it waits between them.
-pub fn after_outage(away: Duration) -> Duration {
-    away.clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER)
+/// An outage is expected to last about as long again as it has lasted. A caller with
+/// few retries covers more of the outage with longer pauses between them.
+pub fn after_outage(outage: Duration) -> Duration {
+    outage.clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER)
 }
--- a/coordination/tests/gateway_refusals.rs
+++ b/coordination/tests/gateway_refusals.rs
@@ -1,43 +1,50 @@
-//! Entries that name no endpoint are told once, and not without bound.
+//! Tests that entries without a usable endpoint are logged once, and that their
+//! number is bounded.
 
 use std::collections::HashSet;
 
-use rosebend_coordination::gateway::refusals::{Noted, Refusals};
+use rosebend_coordination::gateway::refusals::{RecordOutcome, RefusedEntries};
 
 #[test]
-fn an_entry_is_told_once_until_it_was_gone() {
-    let mut refusals = Refusals::default();
-    assert_eq!(refusals.note("a", "range"), Noted::New);
-    assert_eq!(refusals.note("a", "range"), Noted::Known);
-    assert_eq!(refusals.note("a", "form"), Noted::Known);
-    assert_eq!(refusals.word("a"), Some("range"));
-    assert!(refusals.end("a"));
-    assert!(!refusals.end("a"));
-    assert_eq!(refusals.note("a", "form"), Noted::New);
+fn an_entry_is_reported_once_until_it_is_cleared() {
+    let mut refused_entries = RefusedEntries::default();
+    assert_eq!(refused_entries.record("a", "range"), RecordOutcome::New);
+    assert_eq!(
+        refused_entries.record("a", "range"),
+        RecordOutcome::AlreadyRefused
+    );
+    assert_eq!(
+        refused_entries.record("a", "form"),
+        RecordOutcome::AlreadyRefused
+    );
+    assert_eq!(refused_entries.reason("a"), Some("range"));
+    assert!(refused_entries.clear("a"));
+    assert!(!refused_entries.clear("a"));
+    assert_eq!(refused_entries.record("a", "form"), RecordOutcome::New);
 }
 
 #[test]
-fn a_whole_read_ends_the_refusals_of_entries_that_it_lacks() {
-    let mut refusals = Refusals::default();
+fn a_complete_read_clears_the_entries_that_it_lacks() {
+    let mut refused_entries = RefusedEntries::default();
     for id in ["a", "b"] {
-        refusals.note(id, "form");
+        refused_entries.record(id, "form");
     }
-    assert_eq!(refusals.retain(&HashSet::from(["b", "c"])), ["a"]);
-    assert_eq!(refusals.for_word("form"), ["b"]);
+    assert_eq!(refused_entries.retain(&HashSet::from(["b", "c"])), ["a"]);
+    assert_eq!(refused_entries.with_reason("form"), ["b"]);
 }
 
 #[test]
-fn a_flood_of_entries_is_told_in_part() {
-    let mut refusals = Refusals::default();
+fn the_number_of_tracked_entries_is_bounded() {
+    let mut refused_entries = RefusedEntries::default();
     for number in 0..10_000 {
-        let noted = refusals.note(&format!("i-{number}"), "form");
+        let outcome = refused_entries.record(&format!("i-{number}"), "form");
         let expected = if number < 256 {
-            Noted::New
+            RecordOutcome::New
         } else {
-            Noted::Beyond
+            RecordOutcome::LimitReached
         };
-        assert_eq!(noted, expected, "{number}");
+        assert_eq!(outcome, expected, "{number}");
     }
-    assert!(refusals.end("i-0"));
-    assert_eq!(refusals.note("i-9999", "form"), Noted::New);
+    assert!(refused_entries.clear("i-0"));
+    assert_eq!(refused_entries.record("i-9999", "form"), RecordOutcome::New);
 }
--- a/gateway/src/entries.rs
+++ b/gateway/src/entries.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use rosebend_coordination::gateway::directory::Listing;
-use rosebend_coordination::gateway::refusals::Noted;
+use rosebend_coordination::gateway::refusals::RecordOutcome;
 use rosebend_platform::endpoints::{self, EntryError};
 use rosebend_state::deployment::{EndpointRecord, Row};
 use rosebend_transport::event::{Event, EventKind, log_event};
@@ -115,12 +115,12 @@
 
 /// Tells and counts an entry that names no endpoint, unless it is known.
 fn note_refusal(gateway: &Gateway, instance: &str, word: &'static str, error: Option<&EntryError>) {
-    let noted = gateway.refusals.borrow_mut().note(instance, word);
-    if noted == Noted::Known {
+    let noted = gateway.refusals.borrow_mut().record(instance, word);
+    if noted == RecordOutcome::AlreadyRefused {
         return;
     }
     gateway.metrics.count_refused_entry(word);
-    if noted == Noted::Beyond {
+    if noted == RecordOutcome::LimitReached {
         return;
     }
     let event = Event::new(EventKind::EntryRefused).endpoint(instance);
@@ -133,11 +133,11 @@
 
 fn end_refusal(gateway: &Gateway, instance: &str, how: &'static str) {
     // One of an undeclared service ends when the service is declared.
-    let is_undeclared = gateway.refusals.borrow().word(instance) == Some(UNDECLARED);
+    let is_undeclared = gateway.refusals.borrow().reason(instance) == Some(UNDECLARED);
     if is_undeclared && how == GOOD {
         return;
     }
-    if gateway.refusals.borrow_mut().end(instance) {
+    if gateway.refusals.borrow_mut().clear(instance) {
         log_end(instance, how);
     }
 }
@@ -154,10 +154,10 @@
     for instance in &undeclared {
         note_refusal(gateway, instance, UNDECLARED, None);
     }
-    let known = gateway.refusals.borrow().for_word(UNDECLARED);
+    let known = gateway.refusals.borrow().with_reason(UNDECLARED);
     for instance in known.iter().filter(|known| !undeclared.contains(known)) {
         let is_listed = gateway.directory.borrow().is_listed(instance);
-        if gateway.refusals.borrow_mut().end(instance) {
+        if gateway.refusals.borrow_mut().clear(instance) {
             log_end(instance, if is_listed { GOOD } else { GONE });
         }
     }
--- a/gateway/src/gateway.rs
+++ b/gateway/src/gateway.rs
@@ -11,7 +11,7 @@
 use rosebend_coordination::gateway::history::{History, partition_of};
 use rosebend_coordination::gateway::identity::Confirmation;
 use rosebend_coordination::gateway::limits::Tolerance;
-use rosebend_coordination::gateway::refusals::Refusals;
+use rosebend_coordination::gateway::refusals::RefusedEntries;
 use rosebend_coordination::gateway::route_table::RouteTable;
 use rosebend_state::deployment::{Customers, EndpointIdentity};
 use rosebend_state::settings::{CustomerSettings, GatewaySettings, StoreSettings};
@@ -66,7 +66,7 @@
     /// The queues of engines, which decide whether new programs are begun.
     pub admission: RefCell<Admission>,
     /// Entries that name no endpoint to use.
-    pub refusals: RefCell<Refusals>,
+    pub refusals: RefCell<RefusedEntries>,
     /// Idle connections to endpoints.
     pub pool: RefCell<Pool>,
     /// Turns in memory.
