--- a/coordination/src/gateway/fingerprint.rs
+++ b/coordination/src/gateway/fingerprint.rs
@@ -1,9 +1,9 @@
-//! Requests that crash the endpoints that run them.
+//! Detects requests that crash the endpoints that run them.
 //!
-//! Such a request comes again with the same path, caller and body, at any
-//! host. Each crash that it may have caused is counted; when the count reaches
-//! [`MAX_CRASHES`], the request is refused. A request that was answered is
-//! cleared: others that run at an endpoint when it crashes are suspects, too.
+//! Such a request is repeated with the same path, caller and body, at any host. Each
+//! crash that a request may have caused is counted; when the count reaches
+//! [`MAX_CRASHES`], the request is refused. All requests that an endpoint runs when
+//! it crashes are suspects, so a request that is answered is cleared.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -11,59 +11,67 @@
 use rosebend_state::deployment::EndpointIdentity;
 use rosebend_util::hash_parts;
 
-/// Identifies a request by its content and caller.
+/// Hash that identifies a request by its content and caller.
 pub type Fingerprint = u64;
 
-/// Crashes after which a request is not run any more. Endpoints that crash for
-/// another reason often crash two at a time, and the same innocent request, say
+/// Number of crashes after which a request is refused. Endpoints that crash for
+/// another reason often crash two at a time, and the same harmless request, such as
 /// one without a body, may have run at both.
 pub const MAX_CRASHES: usize = 3;
 
-/// How long a crash is held against a request. A request that really crashes
-/// endpoints comes again within seconds.
-pub const MEMORY: Duration = Duration::from_secs(60);
+/// Time for which a crash counts against a request. A request that does crash
+/// endpoints is repeated within seconds.
+pub const CRASH_RETENTION: Duration = Duration::from_secs(60);
 
-/// The fingerprint of a request.
+/// Computes the fingerprint of a request.
 pub fn fingerprint(host: &str, path: &str, caller: &str, body: &[u8]) -> Fingerprint {
     hash_parts(&[host.as_bytes(), path.as_bytes(), caller.as_bytes(), body])
 }
 
-/// Crashes by the requests that were running.
+/// Recent crashes, by the fingerprints of the requests that were running.
 #[derive(Debug, Default)]
 pub struct CrashCounts {
     crashes: HashMap<Fingerprint, HashMap<EndpointIdentity, Duration>>,
 }
 
 impl CrashCounts {
-    /// Notes that a start of an endpoint ended while it ran the request. One
-    /// that crashed at several starts counts once for each.
-    pub fn add(&mut self, request: Fingerprint, identity: &EndpointIdentity, now: Duration) {
-        let starts = self.crashes.entry(request).or_default();
-        starts.insert(identity.clone(), now);
+    /// Records that an endpoint process crashed while it ran the request. If the
+    /// same instance crashes after a restart, that counts as another crash.
+    pub fn record_crash(
+        &mut self,
+        request: Fingerprint,
+        identity: &EndpointIdentity,
+        now: Duration,
+    ) {
+        let crashed_processes = self.crashes.entry(request).or_default();
+        crashed_processes.insert(identity.clone(), now);
     }
 
-    /// Notes that the request was answered, and so crashes nothing.
+    /// Records that the request was answered and so does not crash endpoints.
     pub fn clear(&mut self, request: Fingerprint) {
         self.crashes.remove(&request);
     }
 
-    /// Crashes that are held against the request.
+    /// Returns the number of crashes that count against the request.
     pub fn count(&self, request: Fingerprint, now: Duration) -> usize {
-        let is_recent = |at: &&Duration| now.saturating_sub(**at) < MEMORY;
-        let starts = self.crashes.get(&request);
-        starts.map_or(0, |starts| starts.values().filter(is_recent).count())
+        let is_recent = |at: &&Duration| now.saturating_sub(**at) < CRASH_RETENTION;
+        let crashed_processes = self.crashes.get(&request);
+        crashed_processes.map_or(0, |crashed_processes| {
+            crashed_processes.values().filter(is_recent).count()
+        })
     }
 
-    /// Whether the request is refused.
+    /// Returns whether the request is refused.
     pub fn is_refused(&self, request: Fingerprint, now: Duration) -> bool {
         self.count(request, now) >= MAX_CRASHES
     }
 
-    /// Drops what is not held against a request any more.
+    /// Removes crashes that no longer count against a request.
     pub fn expire(&mut self, now: Duration) {
-        for starts in self.crashes.values_mut() {
-            starts.retain(|_, at| now.saturating_sub(*at) < MEMORY);
+        for crashed_processes in self.crashes.values_mut() {
+            crashed_processes.retain(|_, at| now.saturating_sub(*at) < CRASH_RETENTION);
         }
-        self.crashes.retain(|_, starts| !starts.is_empty());
+        self.crashes
+            .retain(|_, crashed_processes| !crashed_processes.is_empty());
     }
 }
--- a/coordination/src/gateway/route_table.rs
+++ b/coordination/src/gateway/route_table.rs
@@ -1,37 +1,37 @@
-//! Which route a request takes, and which of its services serves it.
+//! Selects the route of a request, and the service of the route that serves it.
 
 use std::collections::HashMap;
 
 use rosebend_state::deployment::{Deployment, Route, ServiceName, UnusableRoute};
 use rosebend_util::hash_parts;
 
-/// The routes of one version, by host.
+/// The routes of one deployment version, indexed by host name.
 #[derive(Clone, Debug)]
 pub struct RouteTable {
     deployment: Deployment,
-    /// Where the routes stand, longest prefix first.
-    by_host: HashMap<String, Vec<Place>>,
+    /// Indexes of the routes of each host, in descending order of prefix length.
+    by_host: HashMap<String, Vec<RouteIndex>>,
 }
 
 /// Index of a route in its list of the deployment.
 #[derive(Clone, Copy, Debug)]
-enum Place {
+enum RouteIndex {
     Usable(usize),
     Unusable(usize),
 }
 
-/// Why no route serves a request.
+/// Reason for which no route serves a request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum RouteError {
-    /// There is none for its host and path.
+    /// No route matches the host and path.
     Unknown,
-    /// The route that it takes has a value that can't be used. The request goes
-    /// to no other: it might be run more often there than it may be.
+    /// The matching route has an invalid value. The request is not passed to a route
+    /// with a shorter prefix, which might run it more often than is allowed.
     Unusable,
 }
 
 impl RouteTable {
-    /// Indexes a deployment.
+    /// Creates the index of a deployment.
     pub fn new(deployment: Deployment) -> Self {
         let mut table = Self {
             by_host: HashMap::new(),
@@ -39,82 +39,85 @@
         };
         for index in 0..table.deployment.routes.len() {
             let host = table.deployment.routes[index].host.clone();
-            table.add(&host, Place::Usable(index));
+            table.add(&host, RouteIndex::Usable(index));
         }
         for index in 0..table.deployment.unusable_routes.len() {
             let host = table.deployment.unusable_routes[index].host.clone();
-            table.add(&host, Place::Unusable(index));
+            table.add(&host, RouteIndex::Unusable(index));
         }
-        table.sort();
+        table.sort_by_prefix_length();
         table
     }
 
-    fn add(&mut self, host: &str, place: Place) {
+    fn add(&mut self, host: &str, route_index: RouteIndex) {
         let host = host.to_ascii_lowercase();
-        self.by_host.entry(host).or_default().push(place);
+        self.by_host.entry(host).or_default().push(route_index);
     }
 
-    fn sort(&mut self) {
+    fn sort_by_prefix_length(&mut self) {
         let mut by_host = std::mem::take(&mut self.by_host);
-        for places in by_host.values_mut() {
-            places.sort_by_key(|place| std::cmp::Reverse(self.prefix(*place).len()));
+        for route_indexes in by_host.values_mut() {
+            route_indexes
+                .sort_by_key(|route_index| std::cmp::Reverse(self.prefix(*route_index).len()));
         }
         self.by_host = by_host;
     }
 
-    fn prefix(&self, place: Place) -> &str {
-        match place {
-            Place::Usable(index) => &self.deployment.routes[index].prefix,
-            Place::Unusable(index) => &self.deployment.unusable_routes[index].prefix,
+    fn prefix(&self, route_index: RouteIndex) -> &str {
+        match route_index {
+            RouteIndex::Usable(index) => &self.deployment.routes[index].prefix,
+            RouteIndex::Unusable(index) => &self.deployment.unusable_routes[index].prefix,
         }
     }
 
-    /// The deployment that the table was made of.
+    /// Returns the deployment that the table indexes.
     pub fn deployment(&self) -> &Deployment {
         &self.deployment
     }
 
-    /// Routes that can't be used.
+    /// Returns the routes with invalid values.
     pub fn unusable_routes(&self) -> &[UnusableRoute] {
         &self.deployment.unusable_routes
     }
 
-    /// The route of a request: of those of its host, the one with the longest
-    /// prefix that begins the path.
+    /// Returns the route of a request, which is the route of its host with the
+    /// longest prefix of the path.
     ///
     /// # Errors
     ///
-    /// Tells why no route serves it.
+    /// Returns the reason for which no route serves the request.
     pub fn route(&self, host: &str, path: &str) -> Result<&Route, RouteError> {
-        let host = without_port(host).to_ascii_lowercase();
-        let places = self.by_host.get(&host).ok_or(RouteError::Unknown)?;
-        let mut places = places.iter();
-        let place = places.find(|place| path.starts_with(self.prefix(**place)));
-        match place.ok_or(RouteError::Unknown)? {
-            Place::Usable(index) => Ok(&self.deployment.routes[*index]),
-            Place::Unusable(_) => Err(RouteError::Unusable),
+        let host = strip_port(host).to_ascii_lowercase();
+        let route_indexes = self.by_host.get(&host).ok_or(RouteError::Unknown)?;
+        let mut route_indexes = route_indexes.iter();
+        let route_index =
+            route_indexes.find(|route_index| path.starts_with(self.prefix(**route_index)));
+        match route_index.ok_or(RouteError::Unknown)? {
+            RouteIndex::Usable(index) => Ok(&self.deployment.routes[*index]),
+            RouteIndex::Unusable(_) => Err(RouteError::Unusable),
         }
     }
 }
 
-fn without_port(host: &str) -> &str {
+fn strip_port(host: &str) -> &str {
     match host.rsplit_once(':') {
         Some((name, port)) if port.bytes().all(|byte| byte.is_ascii_digit()) => name,
         _ => host,
     }
 }
 
-/// The service that serves a request of a route.
+/// Selects the service that serves a request of a route, by a hash that follows the
+/// weights of the services.
 ///
-/// The same subject goes to the same service as long as the shares stay, so
-/// that a program does not change its engines from one turn to the next.
-pub fn service_for<'a>(route: &'a Route, subject: &str) -> &'a ServiceName {
+/// The same `affinity_key` selects the same service as long as the weights are
+/// unchanged, so that the turns of a program go to the same engines.
+pub fn service_for<'a>(route: &'a Route, affinity_key: &str) -> &'a ServiceName {
     let total: u64 = route
         .targets
         .iter()
         .map(|target| u64::from(target.weight))
         .sum();
-    let mut point = hash_parts(&[route.name.as_bytes(), subject.as_bytes()]) % total.max(1);
+    let mut point = hash_parts(&[route.name.as_bytes(), affinity_key.as_bytes()]) % total.max(1);
     for target in &route.targets {
         let weight = u64::from(target.weight);
         if point < weight {
--- a/coordination/tests/gateway_fingerprint.rs
+++ b/coordination/tests/gateway_fingerprint.rs
@@ -1,14 +1,16 @@
-//! Which requests count as crashing endpoints.
+//! Tests which requests are counted as crashing endpoints.
 
 use std::time::Duration;
 
-use rosebend_coordination::gateway::fingerprint::{CrashCounts, MAX_CRASHES, MEMORY, fingerprint};
+use rosebend_coordination::gateway::fingerprint::{
+    CRASH_RETENTION, CrashCounts, MAX_CRASHES, fingerprint,
+};
 
 use rosebend_state::deployment::EndpointIdentity;
 
 const NOW: Duration = Duration::from_secs(100);
 
-fn start(instance: &str, started_ms: u64) -> EndpointIdentity {
+fn endpoint(instance: &str, started_ms: u64) -> EndpointIdentity {
     EndpointIdentity {
         instance: instance.to_owned(),
         started_ms: Some(started_ms),
@@ -18,7 +20,7 @@
 fn crashed(request: u64, times: usize) -> CrashCounts {
     let mut counts = CrashCounts::default();
     for number in 0..times {
-        counts.add(request, &start(&format!("i-{number}"), 1), NOW);
+        counts.record_crash(request, &endpoint(&format!("i-{number}"), 1), NOW);
     }
     counts
 }
@@ -30,8 +32,8 @@
     let mut counts = crashed(request, MAX_CRASHES);
     assert!(counts.is_refused(request, NOW));
     assert!(!counts.is_refused(request + 1, NOW));
-    assert!(!counts.is_refused(request, NOW + MEMORY));
-    counts.expire(NOW + MEMORY);
+    assert!(!counts.is_refused(request, NOW + CRASH_RETENTION));
+    counts.expire(NOW + CRASH_RETENTION);
     assert_eq!(counts.count(request, NOW), 0);
 }
 
@@ -40,7 +42,7 @@
     let request = fingerprint("desk.example", "/fee/1", "10.0.0.7", b"fee");
     let mut counts = CrashCounts::default();
     for _ in 0..5 {
-        counts.add(request, &start("i-1", 1), NOW);
+        counts.record_crash(request, &endpoint("i-1", 1), NOW);
     }
     assert_eq!(counts.count(request, NOW), 1);
     counts.clear(request);
@@ -48,26 +50,26 @@
 }
 
 #[test]
-fn path_caller_and_body_tell_requests_apart() {
-    let table = [
+fn host_path_caller_and_body_distinguish_requests() {
+    let fingerprints = [
         fingerprint("h", "/a", "c", b"x"),
         fingerprint("h", "/b", "c", b"x"),
         fingerprint("h", "/a", "d", b"x"),
         fingerprint("h", "/a", "c", b"y"),
         fingerprint("i", "/a", "c", b"x"),
     ];
-    for (index, one) in table.iter().enumerate() {
-        assert!(!table[index + 1..].contains(one), "{index}");
+    for (index, current) in fingerprints.iter().enumerate() {
+        assert!(!fingerprints[index + 1..].contains(current), "{index}");
     }
 }
 
 #[test]
-fn crashes_of_several_starts_under_one_id_count_each() {
+fn each_restart_of_an_instance_counts_separately() {
     let request = fingerprint("desk.example", "/fee/1", "10.0.0.7", b"poison");
     let mut counts = CrashCounts::default();
     for started_ms in 1..=3 {
         assert!(!counts.is_refused(request, NOW));
-        counts.add(request, &start("i-1", started_ms), NOW);
+        counts.record_crash(request, &endpoint("i-1", started_ms), NOW);
     }
     assert!(counts.is_refused(request, NOW));
 }
--- a/coordination/tests/gateway_routes.rs
+++ b/coordination/tests/gateway_routes.rs
@@ -1,4 +1,4 @@
-//! Which route a request takes where some of them can't be used.
+//! Tests the selection of routes if some of them have invalid values.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn a_route_that_cannot_be_used_keeps_its_requests_from_wider_routes() {
+fn requests_of_an_unusable_route_match_no_shorter_prefix() {
     let table = table();
     let name = |host, path| table.route(host, path).map(|route| route.name.as_str());
     assert_eq!(name(HOST, "/else"), Ok("all"));
--- a/gateway/src/quarantine.rs
+++ b/gateway/src/quarantine.rs
@@ -8,7 +8,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use rosebend_coordination::gateway::fingerprint::{Fingerprint, MEMORY};
+use rosebend_coordination::gateway::fingerprint::{CRASH_RETENTION, Fingerprint};
 use rosebend_state::deployment::{EndpointIdentity, Row, RowId, RowWrite, Transaction};
 use rosebend_transport::connection::{Connection, ConnectionError};
 use rosebend_transport::event::{Event, EventKind, log_event};
@@ -66,7 +66,7 @@
     };
     // This host knows it anyway; others learn of the next crash.
     let _ = gateway.store.transact(&transaction).await;
-    tokio::time::sleep(MEMORY).await;
+    tokio::time::sleep(CRASH_RETENTION).await;
     let transaction = Transaction {
         deletes: vec![row],
         ..Transaction::default()
@@ -79,7 +79,7 @@
     let now = gateway.clock.now();
     let mut crashes = gateway.crashes.borrow_mut();
     let was_refused = crashes.is_refused(request, now);
-    crashes.add(request, endpoint, now);
+    crashes.record_crash(request, endpoint, now);
     if !was_refused && crashes.is_refused(request, now) {
         let count = crashes.count(request, now) as u64;
         log_event(&Event::new(EventKind::RequestQuarantined).count(count));
