--- a/coordination/src/gateway/admission.rs
+++ b/coordination/src/gateway/admission.rs
@@ -107,12 +107,12 @@
     pub fn record_first_byte(&mut self, service: &str, first_byte: Duration, now: Duration) {
         let sample_ms = first_byte.as_secs_f64() * 1_000.0;
         let Some(estimate) = self.services.get_mut(service) else {
-            let estimate = QueueEstimate {
+            let first_estimate = QueueEstimate {
                 first_byte_ms: sample_ms,
                 idle_ms: sample_ms,
                 updated_at: now,
             };
-            self.services.insert(service.to_owned(), estimate);
+            self.services.insert(service.to_owned(), first_estimate);
             return;
         };
         let wait_ms = estimate.wait_ms(now);
--- a/coordination/src/gateway/fingerprint.rs
+++ b/coordination/src/gateway/fingerprint.rs
@@ -43,8 +43,8 @@
         identity: &EndpointIdentity,
         now: Duration,
     ) {
-        let crashed_processes = self.crashes.entry(request).or_default();
-        crashed_processes.insert(identity.clone(), now);
+        let crashed = self.crashes.entry(request).or_default();
+        crashed.insert(identity.clone(), now);
     }
 
     /// Records that the request was answered and so does not crash endpoints.
@@ -55,10 +55,8 @@
     /// Returns the number of crashes that count against the request.
     pub fn count(&self, request: Fingerprint, now: Duration) -> usize {
         let is_recent = |at: &&Duration| now.saturating_sub(**at) < CRASH_RETENTION;
-        let crashed_processes = self.crashes.get(&request);
-        crashed_processes.map_or(0, |crashed_processes| {
-            crashed_processes.values().filter(is_recent).count()
-        })
+        let crashed = self.crashes.get(&request);
+        crashed.map_or(0, |crashed| crashed.values().filter(is_recent).count())
     }
 
     /// Returns whether the request is refused.
@@ -68,10 +66,9 @@
 
     /// Removes crashes that no longer count against a request.
     pub fn expire(&mut self, now: Duration) {
-        for crashed_processes in self.crashes.values_mut() {
-            crashed_processes.retain(|_, at| now.saturating_sub(*at) < CRASH_RETENTION);
+        for crashed in self.crashes.values_mut() {
+            crashed.retain(|_, at| now.saturating_sub(*at) < CRASH_RETENTION);
         }
-        self.crashes
-            .retain(|_, crashed_processes| !crashed_processes.is_empty());
+        self.crashes.retain(|_, crashed| !crashed.is_empty());
     }
 }
--- a/coordination/src/gateway/refusals.rs
+++ b/coordination/src/gateway/refusals.rs
@@ -25,49 +25,49 @@
 #[derive(Debug, Default)]
 pub struct RefusedEntries {
     /// Reason codes by instance; at most [`MAX_TRACKED`] entries.
-    reasons: HashMap<InstanceId, &'static str>,
+    reason_codes: HashMap<InstanceId, &'static str>,
 }
 
 impl RefusedEntries {
     /// Records that an entry is refused.
-    pub fn record(&mut self, instance: &str, reason: &'static str) -> RecordOutcome {
-        if self.reasons.contains_key(instance) {
+    pub fn record_refusal(&mut self, instance: &str, reason_code: &'static str) -> RecordOutcome {
+        if self.reason_codes.contains_key(instance) {
             return RecordOutcome::AlreadyRefused;
         }
-        if self.reasons.len() >= MAX_TRACKED {
+        if self.reason_codes.len() >= MAX_TRACKED {
             return RecordOutcome::LimitReached;
         }
-        self.reasons.insert(instance.to_owned(), reason);
+        self.reason_codes.insert(instance.to_owned(), reason_code);
         RecordOutcome::New
     }
 
     /// Records that an entry has been removed or is valid again. Returns whether
     /// that has to be logged.
     pub fn clear(&mut self, instance: &str) -> bool {
-        self.reasons.remove(instance).is_some()
+        self.reason_codes.remove(instance).is_some()
     }
 
     /// Returns the reason code of a refused entry, or none if the entry is not
     /// refused.
-    pub fn reason(&self, instance: &str) -> Option<&'static str> {
-        self.reasons.get(instance).copied()
+    pub fn reason_code(&self, instance: &str) -> Option<&'static str> {
+        self.reason_codes.get(instance).copied()
     }
 
     /// Returns the entries that are refused for the given reason.
-    pub fn with_reason(&self, reason: &str) -> Vec<InstanceId> {
-        let reasons = self.reasons.iter();
-        let matching = reasons.filter(|(_, other)| **other == reason);
+    pub fn with_reason(&self, reason_code: &str) -> Vec<InstanceId> {
+        let reason_codes = self.reason_codes.iter();
+        let matching = reason_codes.filter(|(_, other)| **other == reason_code);
         matching.map(|(instance, _)| instance.clone()).collect()
     }
 
     /// Removes the entries that do not occur in a complete read of the table, and
     /// returns them.
     pub fn retain(&mut self, listed: &HashSet<&str>) -> Vec<InstanceId> {
-        let instances = self.reasons.keys();
+        let instances = self.reason_codes.keys();
         let removed = instances.filter(|instance| !listed.contains(instance.as_str()));
         let removed: Vec<InstanceId> = removed.cloned().collect();
         for instance in &removed {
-            self.reasons.remove(instance);
+            self.reason_codes.remove(instance);
         }
         removed
     }
--- a/coordination/tests/gateway_admission.rs
+++ b/coordination/tests/gateway_admission.rs
@@ -120,9 +120,8 @@
             let attempt = program.to_string();
             let now = self.now();
             let admission = self.admission.as_ref();
-            let refused = admission.and_then(|admission| {
-                admission.refusal_delay(SERVICE, Urgency::Normal, &attempt, now)
-            });
+            let refused =
+                admission.and_then(|a| a.refusal_delay(SERVICE, Urgency::Normal, &attempt, now));
             if refused.is_some() {
                 self.stats[phase].refused += 1;
                 return;
--- a/coordination/tests/limit_sim/mod.rs
+++ b/coordination/tests/limit_sim/mod.rs
@@ -117,8 +117,8 @@
 
 #[derive(Clone, Debug)]
 enum Message {
-    Request(AllocatorRequest),
-    Response(AllocatorResponse),
+    AllocatorRequest(AllocatorRequest),
+    AllocatorResponse(AllocatorResponse),
 }
 
 #[derive(Debug)]
@@ -425,7 +425,7 @@
         quota_requests: impl IntoIterator<Item = (usize, AllocatorRequest)>,
     ) {
         for (to, quota_request) in quota_requests {
-            self.send(from, to, Message::Request(quota_request));
+            self.send(from, to, Message::AllocatorRequest(quota_request));
         }
     }
 
@@ -454,12 +454,12 @@
             }
             let limits = &mut self.hosts[to].limits;
             match message {
-                Message::Request(quota_request) => {
+                Message::AllocatorRequest(quota_request) => {
                     if let Some(response) = limits.handle_request(&quota_request, self.now) {
-                        self.send(to, from, Message::Response(response));
+                        self.send(to, from, Message::AllocatorResponse(response));
                     }
                 }
-                Message::Response(response) => {
+                Message::AllocatorResponse(response) => {
                     limits.handle_response(&response, self.now);
                 }
             }
--- a/gateway/src/entries.rs
+++ b/gateway/src/entries.rs
@@ -115,7 +115,7 @@
 
 /// Tells and counts an entry that names no endpoint, unless it is known.
 fn note_refusal(gateway: &Gateway, instance: &str, word: &'static str, error: Option<&EntryError>) {
-    let noted = gateway.refusals.borrow_mut().record(instance, word);
+    let noted = gateway.refusals.borrow_mut().record_refusal(instance, word);
     if noted == RecordOutcome::AlreadyRefused {
         return;
     }
@@ -133,7 +133,7 @@
 
 fn end_refusal(gateway: &Gateway, instance: &str, how: &'static str) {
     // One of an undeclared service ends when the service is declared.
-    let is_undeclared = gateway.refusals.borrow().reason(instance) == Some(UNDECLARED);
+    let is_undeclared = gateway.refusals.borrow().reason_code(instance) == Some(UNDECLARED);
     if is_undeclared && how == GOOD {
         return;
     }
