--- a/coordination/src/gateway/limits.rs
+++ b/coordination/src/gateway/limits.rs
@@ -216,7 +216,7 @@
         }
         self.local_quotas
             .get_mut(customer)
-            .expect("it was just added")
+            .expect("the customer was just inserted")
     }
 
     /// Returns the quota request that has to be sent for a customer immediately, and
