--- a/coordination/src/gateway/avoidance.rs
+++ b/coordination/src/gateway/avoidance.rs
@@ -5,7 +5,7 @@
 
 use rosebend_state::id::HostId;
 
-use crate::gateway::ledger::Holder;
+use crate::gateway::ledger::ProcessId;
 
 /// First time for which a host that was silent is not asked again; it doubles with
 /// each silence in a row. A process that was killed is back after about as long.
@@ -17,7 +17,7 @@
 #[derive(Clone, Debug)]
 struct Avoided {
     /// Another run of the host's process is not avoided for what this one did.
-    run: Holder,
+    run: ProcessId,
     times: u32,
     until: Duration,
 }
@@ -30,14 +30,14 @@
 
 impl Avoidance {
     /// Whether a run of a host is avoided now.
-    pub fn is_avoided(&self, host: &HostId, run: &Holder, now: Duration) -> bool {
+    pub fn is_avoided(&self, host: &HostId, run: &ProcessId, now: Duration) -> bool {
         let avoided = self.avoided.get(host);
         avoided.is_some_and(|avoided| avoided.run == *run && now < avoided.until)
     }
 
     /// Notes that a run of a host did not answer. Returns for how long it is not
     /// asked; none when that is known already.
-    pub fn silent(&mut self, host: &HostId, run: &Holder, now: Duration) -> Option<Duration> {
+    pub fn silent(&mut self, host: &HostId, run: &ProcessId, now: Duration) -> Option<Duration> {
         let known = self.avoided.get(host).filter(|known| known.run == *run);
         if known.is_some_and(|known| now < known.until) {
             return None;
--- a/coordination/src/gateway/escrow/hold_off.rs
+++ b/coordination/src/gateway/escrow/hold_off.rs
@@ -21,7 +21,7 @@
 use serde::{Deserialize, Serialize};
 use serde_with::{DurationMilliSeconds, serde_as};
 
-use crate::gateway::ledger::Holder;
+use crate::gateway::ledger::ProcessId;
 
 /// How long an owner holds off after it has said so. A process that is killed starts again
 /// within it, and a turn at the beginning of an outage waits no longer than for it.
@@ -41,7 +41,7 @@
 #[serde(deny_unknown_fields)]
 pub struct HoldOffRow {
     /// The run that holds off.
-    pub run: Holder,
+    pub run: ProcessId,
     /// Its epoch, which ends when the hold-off is ended.
     pub epoch: Epoch,
     /// Until which time of the store's clock.
@@ -52,7 +52,7 @@
 impl HoldOffRow {
     /// The row of a run that begins to hold off now. The store's clock shows `store_now`
     /// or more.
-    pub fn new(run: Holder, epoch: Epoch, store_now: Duration) -> Self {
+    pub fn new(run: ProcessId, epoch: Epoch, store_now: Duration) -> Self {
         Self {
             run,
             epoch,
@@ -72,7 +72,7 @@
     }
 
     /// Key of the mark that ends an epoch of a run.
-    pub fn mark_key(host: &HostId, run: &Holder, epoch: Epoch) -> String {
+    pub fn mark_key(host: &HostId, run: &ProcessId, epoch: Epoch) -> String {
         format!("hold-off/{host}/{run}/{epoch}")
     }
 
@@ -96,7 +96,7 @@
 
     /// The run that died while it held off, if the present run of its host began at
     /// `store_now` or before.
-    pub fn died_in_time(self, store_now: Duration) -> Option<Holder> {
+    pub fn died_in_time(self, store_now: Duration) -> Option<ProcessId> {
         (store_now <= self.until_store_ms).then_some(self.run)
     }
 }
--- a/coordination/src/gateway/escrow/message.rs
+++ b/coordination/src/gateway/escrow/message.rs
@@ -9,7 +9,7 @@
 use super::GrantId;
 use super::accounts::{Accounts, GrantRequest};
 use super::slot::SlotId;
-use crate::gateway::ledger::Holder;
+use crate::gateway::ledger::ProcessId;
 
 /// A question to a slot's owner. It may be repeated.
 #[derive(Clone, Debug, Eq, PartialEq)]
@@ -18,9 +18,9 @@
     /// Answers carry the same number.
     pub number: u64,
     /// The run that asks.
-    pub from: Holder,
+    pub from: ProcessId,
     /// The run that is asked; no other one answers.
-    pub to: Holder,
+    pub to: ProcessId,
     /// The slot.
     pub slot: SlotId,
     /// What is asked.
@@ -44,7 +44,7 @@
         fence: RowVersion,
     },
     /// The run that asks has taken the slot over from this one.
-    Moved(Holder),
+    Moved(ProcessId),
 }
 
 /// What a slot's owner is asked about a program.
@@ -96,7 +96,7 @@
     /// Number of the question.
     pub number: u64,
     /// The run that asked.
-    pub to: Holder,
+    pub to: ProcessId,
     /// The answer.
     pub reply: Reply,
 }
--- a/coordination/src/gateway/escrow/slot.rs
+++ b/coordination/src/gateway/escrow/slot.rs
@@ -6,7 +6,7 @@
 use super::accounts::Accounts;
 use super::{SLOTS, SlotIndex};
 use crate::gateway::history::partitions;
-use crate::gateway::ledger::Holder;
+use crate::gateway::ledger::ProcessId;
 
 /// Begins the key of a slot's row.
 pub(super) const KEY_PREFIX: &str = "escrow/";
@@ -79,7 +79,7 @@
 #[derive(Deserialize, Serialize)]
 pub struct SlotRow {
     /// The owner; none after a planned stop of a host that found no successor.
-    pub owner: Option<Holder>,
+    pub owner: Option<ProcessId>,
     /// Accounts that the owner before left at its planned stop.
     #[serde(default)]
     pub accounts: Accounts,
--- a/coordination/src/gateway/escrow/slots.rs
+++ b/coordination/src/gateway/escrow/slots.rs
@@ -23,7 +23,7 @@
 use super::message::{Ask, ProgramAsk, Reply};
 use super::slot::{KEY_PREFIX, SlotId, SlotRow, SlotWrite};
 use crate::gateway::gatherers::{Candidate, ranked_by, strong};
-use crate::gateway::ledger::Holder;
+use crate::gateway::ledger::ProcessId;
 
 /// How long a slot stays with an owner that is gone.
 pub const QUARANTINE: Duration = Duration::from_secs(300);
@@ -40,7 +40,7 @@
     /// This run.
     Own,
     /// Another run, which answers at an address.
-    Other(Holder, A),
+    Other(ProcessId, A),
     /// A run that is not among the hosts any more.
     Gone,
     /// Nobody, and nothing is lost.
@@ -61,18 +61,18 @@
     /// Since when the owner has been missing among the hosts.
     missing_since: Option<Duration>,
     /// The run that took the slot over from the row's owner.
-    moved_to: Option<Holder>,
+    moved_to: Option<ProcessId>,
 }
 
 impl Known {
-    fn owner(&self) -> Option<&Holder> {
+    fn owner(&self) -> Option<&ProcessId> {
         self.moved_to.as_ref().or(self.row.owner.as_ref())
     }
 }
 
 impl Held {
     /// The slot's row for another owner.
-    fn row(&self, owner: Option<Holder>) -> SlotRow {
+    fn row(&self, owner: Option<ProcessId>) -> SlotRow {
         SlotRow {
             owner,
             accounts: self.accounts.clone(),
@@ -85,7 +85,7 @@
 /// The slots, as one run of a gateway knows them.
 #[derive(Debug)]
 pub struct Slots<A> {
-    own_run: Holder,
+    own_run: ProcessId,
     hosts: Vec<Candidate<A>>,
     hosts_changed_at: Duration,
     /// Whether all hosts keep room for grants in their ledgers; no slot is taken
@@ -96,7 +96,7 @@
     wanted_since: Option<Duration>,
     held: BTreeMap<SlotId, Held>,
     /// The run before this one on its host, if it died while it held off.
-    quiet_run: Option<Holder>,
+    quiet_run: Option<ProcessId>,
     /// Until when this run grants nothing.
     held_off_until: Duration,
     /// When a turn last wanted a grant.
@@ -113,7 +113,7 @@
 
 impl<A: Clone> Slots<A> {
     /// No host and no row known.
-    pub const fn new(own_run: Holder) -> Self {
+    pub const fn new(own_run: ProcessId) -> Self {
         Self {
             own_run,
             hosts: Vec::new(),
@@ -134,7 +134,7 @@
 
     /// Takes all hosts that are there, this one among them.
     pub fn set_hosts(&mut self, hosts: Vec<Candidate<A>>, all_withhold: bool, now: Duration) {
-        let runs = |hosts: &[Candidate<A>]| -> Vec<Holder> {
+        let runs = |hosts: &[Candidate<A>]| -> Vec<ProcessId> {
             hosts.iter().map(|host| host.run.clone()).collect()
         };
         if runs(&hosts) != runs(&self.hosts) {
@@ -186,7 +186,7 @@
         }
     }
 
-    fn host(&self, run: &Holder) -> Option<&Candidate<A>> {
+    fn host(&self, run: &ProcessId) -> Option<&Candidate<A>> {
         self.hosts.iter().find(|host| host.run == *run)
     }
 
@@ -231,7 +231,7 @@
     }
 
     /// Takes note of the run before this one on its host, if it died while it held off.
-    pub fn set_quiet_run(&mut self, run: Option<Holder>) {
+    pub fn set_quiet_run(&mut self, run: Option<ProcessId>) {
         self.quiet_run = run;
     }
 
@@ -290,7 +290,7 @@
     }
 
     /// What this run answers to a question about a slot.
-    pub fn answer(&mut self, slot: &SlotId, from: &Holder, ask: Ask, now: Duration) -> Reply {
+    pub fn answer(&mut self, slot: &SlotId, from: &ProcessId, ask: Ask, now: Duration) -> Reply {
         match ask {
             Ask::Accept => self.accept(slot),
             Ask::TakeOver { accounts, fence } => {
@@ -344,7 +344,7 @@
         Reply::Noted
     }
 
-    fn take_over(&mut self, slot: &SlotId, from: &Holder, held: Held) -> Reply {
+    fn take_over(&mut self, slot: &SlotId, from: &ProcessId, held: Held) -> Reply {
         let known = self.known.entry(slot.clone()).or_default();
         if known.moved_to.as_ref() == Some(&self.own_run) {
             // The question was repeated.
@@ -358,7 +358,7 @@
         Reply::Noted
     }
 
-    fn moved(&mut self, slot: &SlotId, owner: &Holder, to: &Holder) -> Reply {
+    fn moved(&mut self, slot: &SlotId, owner: &ProcessId, to: &ProcessId) -> Reply {
         let known = self.known.entry(slot.clone()).or_default();
         if known.owner() == Some(owner) {
             known.moved_to = Some(to.clone());
@@ -410,7 +410,7 @@
     }
 
     fn note_missing(&mut self, now: Duration) {
-        let runs: Vec<&Holder> = self.hosts.iter().map(|host| &host.run).collect();
+        let runs: Vec<&ProcessId> = self.hosts.iter().map(|host| &host.run).collect();
         for known in self.known.values_mut() {
             let is_missing = known.owner().is_some_and(|owner| !runs.contains(&owner));
             match is_missing {
@@ -442,15 +442,15 @@
 
     /// The run that takes a slot that is free: the first in the partition's order
     /// that does not own the other slot.
-    fn next_owner(&self, slot: &SlotId) -> Option<&Holder> {
+    fn next_owner(&self, slot: &SlotId) -> Option<&ProcessId> {
         let hosts = strong(self.hosts.clone());
         let ranked = ranked_by(&format!("{KEY_PREFIX}{}", slot.partition), hosts.iter());
-        let ranked: Vec<Holder> = ranked.into_iter().map(|host| host.run.clone()).collect();
+        let ranked: Vec<ProcessId> = ranked.into_iter().map(|host| host.run.clone()).collect();
         let mut taken = Vec::new();
         for other in SlotId::of(&slot.partition) {
             let owner = self.known.get(&other).and_then(Known::owner);
             let owner = owner.filter(|owner| ranked.contains(owner));
-            let is_free = |run: &&Holder| !taken.contains(*run);
+            let is_free = |run: &&ProcessId| !taken.contains(*run);
             let next = match owner {
                 Some(owner) if other != *slot => Some(owner.clone()),
                 _ => ranked.iter().find(is_free).or(ranked.first()).cloned(),
@@ -521,7 +521,7 @@
         let hosts = strong(self.hosts.clone());
         let ranked = ranked_by(&format!("{KEY_PREFIX}{}", slot.partition), hosts.iter());
         let others = SlotId::of(&slot.partition).filter(|other| other != slot);
-        let others: Vec<&Holder> = others
+        let others: Vec<&ProcessId> = others
             .filter_map(|other| self.known.get(&other)?.owner())
             .collect();
         let mut ranked: Vec<&Candidate<A>> = ranked
--- a/coordination/src/gateway/follow_tree.rs
+++ b/coordination/src/gateway/follow_tree.rs
@@ -14,7 +14,7 @@
 
 use crate::gateway::avoidance::Avoidance;
 use crate::gateway::gatherers::{Candidate, least_strong_milli, ranked_by};
-use crate::gateway::ledger::Holder;
+use crate::gateway::ledger::ProcessId;
 
 /// Hosts of an availability zone that read the store, so that one may fail.
 pub const READERS: usize = 2;
@@ -104,7 +104,7 @@
 
     /// Notes that a run of a host did not answer, or knew nothing new for too long.
     /// Returns for how long it is not asked; none when that is known already.
-    pub fn silent(&mut self, host: &HostId, run: &Holder, now: Duration) -> Option<Duration> {
+    pub fn silent(&mut self, host: &HostId, run: &ProcessId, now: Duration) -> Option<Duration> {
         self.avoidance.silent(host, run, now)
     }
 
--- a/coordination/src/gateway/gatherers.rs
+++ b/coordination/src/gateway/gatherers.rs
@@ -13,7 +13,7 @@
 use rosebend_util::hash_parts;
 
 use crate::gateway::avoidance::Avoidance;
-use crate::gateway::ledger::Holder;
+use crate::gateway::ledger::ProcessId;
 
 /// Hosts that are asked for one transaction, one after another, before it goes to
 /// the store straight. With a third of all hosts cut off, both are in one of
@@ -28,7 +28,7 @@
     /// Its name, which is the same after a restart.
     pub host: HostId,
     /// The run of its process: another one is not avoided for what this one did.
-    pub run: Holder,
+    pub run: ProcessId,
     /// Where it answers.
     pub address: A,
     /// Its share of a processor, in thousandths of a core.
@@ -99,7 +99,7 @@
 
     /// Notes that a run of a host did not answer. Returns for how long it is not
     /// asked; none when that is known already.
-    pub fn silent(&mut self, host: &HostId, run: &Holder, now: Duration) -> Option<Duration> {
+    pub fn silent(&mut self, host: &HostId, run: &ProcessId, now: Duration) -> Option<Duration> {
         self.avoidance.silent(host, run, now)
     }
 
--- a/coordination/src/gateway/ledger.rs
+++ b/coordination/src/gateway/ledger.rs
@@ -22,9 +22,11 @@
 use crate::gateway::escrow::terms::EscrowTerms;
 use crate::gateway::escrow::{Fences, GrantId, SLOTS, SlotIndex, share_tokens};
 
-/// One run of a host's process, as HOST/RUN. The next run cannot know what became
-/// of the turns of this one.
-pub type Holder = String;
+/// Identifies one incarnation of a gateway process, as `HOST/RUN`.
+///
+/// A restarted process has another id: it does not have the state of the turns
+/// that its predecessor ran.
+pub type ProcessId = String;
 
 /// Spending of one program.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
@@ -63,7 +65,7 @@
 struct Reservation {
     tokens: u64,
     /// Who runs the turn.
-    holder: Holder,
+    holder: ProcessId,
 }
 
 /// What fills a program's budget, for the log.
@@ -74,20 +76,20 @@
     /// Tokens reserved for turns that run.
     pub reserved_tokens: u64,
     /// Who reserved, and how much.
-    pub held: BTreeMap<Holder, u64>,
+    pub held: BTreeMap<ProcessId, u64>,
 }
 
 /// What one process holds of a program's budget.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Holding {
     /// The process.
-    pub holder: Holder,
+    pub holder: ProcessId,
     /// Turns whose most it reserved.
     pub turns: Vec<AttemptId>,
 }
 
 impl Holding {
-    fn of(holder: &Holder) -> Self {
+    fn of(holder: &ProcessId) -> Self {
         Self {
             holder: holder.clone(),
             turns: Vec::new(),
@@ -99,7 +101,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Claim<'a> {
     /// Who runs it.
-    pub holder: &'a Holder,
+    pub holder: &'a ProcessId,
     /// The turn.
     pub attempt: &'a AttemptId,
     /// Most tokens that it generates.
@@ -166,7 +168,7 @@
 
     /// What the tokens are committed for.
     pub fn account(&self) -> Account {
-        let mut held: BTreeMap<Holder, u64> = BTreeMap::new();
+        let mut held: BTreeMap<ProcessId, u64> = BTreeMap::new();
         for reservation in self.reserved.values() {
             add(held.entry(reservation.holder.clone()), reservation.tokens);
         }
@@ -178,14 +180,14 @@
     }
 
     /// Whether a holder has a turn's most reserved.
-    pub fn is_reserved_by(&self, attempt: &AttemptId, holder: &Holder) -> bool {
+    pub fn is_reserved_by(&self, attempt: &AttemptId, holder: &ProcessId) -> bool {
         let reservation = self.reserved.get(attempt);
         reservation.is_some_and(|reservation| reservation.holder == *holder)
     }
 
     /// Who holds tokens, for which turns.
     pub fn holdings(&self) -> Vec<Holding> {
-        let mut holdings: BTreeMap<&Holder, Holding> = BTreeMap::new();
+        let mut holdings: BTreeMap<&ProcessId, Holding> = BTreeMap::new();
         for (attempt, reservation) in &self.reserved {
             let holder = &reservation.holder;
             let holding = holdings
@@ -199,7 +201,7 @@
     /// Reserves a turn's most for a holder, unless that would go beyond the
     /// budget; of what gone holders held it takes only what it needs. A turn that
     /// has its reservation already keeps it.
-    pub fn reserve(&mut self, turn: &Claim<'_>, gone: &[Holder]) -> Grant {
+    pub fn reserve(&mut self, turn: &Claim<'_>, gone: &[ProcessId]) -> Grant {
         if self.reserved.contains_key(turn.attempt) {
             return Grant::Reserved;
         }
@@ -276,7 +278,7 @@
     /// Stops counting as much of what a gone holder held as a turn lacks of what is
     /// available, as long as all that was ever forgiven is no more than the turn's
     /// most.
-    fn forgive(&mut self, holder: &Holder, most_tokens: u64, available_tokens: u64) {
+    fn forgive(&mut self, holder: &ProcessId, most_tokens: u64, available_tokens: u64) {
         let wanted = self.committed_tokens().saturating_add(most_tokens);
         let missing = wanted.saturating_sub(available_tokens);
         let allowed = most_tokens.saturating_sub(self.forgiven_tokens);
@@ -331,7 +333,7 @@
 
 /// Adds tokens of one holder. A ledger may be any other writer's: sums stop at
 /// the largest number, which no budget holds, rather than start at zero again.
-fn add(held: Entry<'_, Holder, u64>, tokens: u64) {
+fn add(held: Entry<'_, ProcessId, u64>, tokens: u64) {
     let held = held.or_default();
     *held = held.saturating_add(tokens);
 }
--- a/coordination/src/gateway/limits.rs
+++ b/coordination/src/gateway/limits.rs
@@ -31,7 +31,7 @@
 use self::message::{Answer, Ask};
 use self::stock::{Demand, Stock};
 use crate::gateway::gatherers::Candidate;
-use crate::gateway::ledger::Holder;
+use crate::gateway::ledger::ProcessId;
 
 pub mod allocator;
 pub mod bucket;
@@ -84,7 +84,7 @@
     /// Requests of the customer that this host has served.
     pub served: u64,
     /// The run of the host that hands out the limit; none when all are silent.
-    pub allocator: Option<Holder>,
+    pub allocator: Option<ProcessId>,
     /// How long ago it was last heard.
     pub heard: Option<Duration>,
 }
@@ -92,12 +92,12 @@
 /// The limits as one host keeps to them, and those that it allocates.
 #[derive(Debug)]
 pub struct HostLimits<A> {
-    own_run: Holder,
+    own_run: ProcessId,
     limits: HashMap<CustomerName, CustomerLimit>,
     tolerance: Tolerance,
     hosts: usize,
     /// Runs of all hosts; nobody else is listened to.
-    runs: HashSet<Holder>,
+    runs: HashSet<ProcessId>,
     links: Links<A>,
     stocks: HashMap<CustomerName, Stock>,
     allocator: Allocator,
@@ -105,7 +105,7 @@
 
 impl<A: Clone> HostLimits<A> {
     /// No customer and no other host known.
-    pub fn new(own_run: Holder, tolerance: Tolerance) -> Self {
+    pub fn new(own_run: ProcessId, tolerance: Tolerance) -> Self {
         Self {
             links: Links::new(own_run.clone()),
             own_run,
--- a/coordination/src/gateway/limits/allocator.rs
+++ b/coordination/src/gateway/limits/allocator.rs
@@ -9,7 +9,7 @@
 use super::links::SILENT_AFTER;
 use super::message::{Ask, Granted, Wanted};
 use super::{Group, Tolerance};
-use crate::gateway::ledger::Holder;
+use crate::gateway::ledger::ProcessId;
 
 /// Part of the tolerated overage, in proportion to the limit, that a bucket holds
 /// besides the burst. The rest is for what is served unasked, and for
@@ -53,7 +53,7 @@
 pub struct Allocator {
     accounts: HashMap<CustomerName, Account>,
     /// Until when hosts count that keep to this one, by group.
-    votes: HashMap<Group, HashMap<Holder, Duration>>,
+    votes: HashMap<Group, HashMap<ProcessId, Duration>>,
     /// What programs of all customers needed.
     learned: Learned,
 }
@@ -65,7 +65,7 @@
     requests: Bucket,
     /// The same for what the programs that began will need.
     begins: Bucket,
-    hosts: HashMap<Holder, HostAccount>,
+    hosts: HashMap<ProcessId, HostAccount>,
     /// Sum of what the hosts have.
     held: u64,
     /// When a host last asked.
@@ -136,7 +136,7 @@
     /// Takes what a host says of a customer, and grants it what it may have.
     pub fn grant(
         &mut self,
-        host: &Holder,
+        host: &ProcessId,
         wanted: &Wanted,
         limit: CustomerLimit,
         tolerance: Tolerance,
@@ -227,7 +227,7 @@
 
     /// Takes what a host says of itself. Returns what it served since it last did,
     /// and how many programs it began.
-    fn report(&mut self, host: &Holder, wanted: &Wanted, now: Duration) -> (f64, f64) {
+    fn report(&mut self, host: &ProcessId, wanted: &Wanted, now: Duration) -> (f64, f64) {
         let reported = HostAccount {
             served: wanted.served,
             begun: wanted.begun,
@@ -253,7 +253,7 @@
 
     /// Charges programs that a host began unasked, and takes back what was charged
     /// for those that it did not begin.
-    fn settle_begins(&mut self, host: &Holder, wanted: &Wanted, begun: f64, needed: f64) {
+    fn settle_begins(&mut self, host: &ProcessId, wanted: &Wanted, begun: f64, needed: f64) {
         let Some(host) = self.hosts.get_mut(host) else {
             return;
         };
@@ -265,7 +265,7 @@
 
     fn grant(
         &mut self,
-        host: &Holder,
+        host: &ProcessId,
         wanted: &Wanted,
         sizes: &Sizes,
         rate_per_s: f64,
--- a/coordination/src/gateway/limits/links.rs
+++ b/coordination/src/gateway/limits/links.rs
@@ -9,7 +9,7 @@
 
 use super::{GROUPS, Group};
 use crate::gateway::gatherers::{Candidate, ranked_by, strong};
-use crate::gateway::ledger::Holder;
+use crate::gateway::ledger::ProcessId;
 
 /// Silence after which an allocator is left for the next one, and after which it
 /// counts a host no more that does not hear it. Three heartbeats: one datagram may
@@ -33,16 +33,16 @@
 /// The allocators of all groups.
 #[derive(Debug)]
 pub struct Links<A> {
-    own_run: Holder,
+    own_run: ProcessId,
     /// Allocators by group, best first.
     ranked: Vec<Vec<Candidate<A>>>,
-    links: HashMap<Holder, Link>,
+    links: HashMap<ProcessId, Link>,
     number: u64,
 }
 
 impl<A: Clone> Links<A> {
     /// No other host known.
-    pub fn new(own_run: Holder) -> Self {
+    pub fn new(own_run: ProcessId) -> Self {
         Self {
             own_run,
             ranked: Vec::new(),
@@ -100,25 +100,25 @@
         Some(SILENT_AFTER.saturating_sub(self.silence(&current.run, now)))
     }
 
-    fn is_silent(&self, run: &Holder, now: Duration) -> bool {
+    fn is_silent(&self, run: &ProcessId, now: Duration) -> bool {
         self.silence(run, now) > SILENT_AFTER
     }
 
     /// For how long a host has not answered.
-    fn silence(&self, run: &Holder, now: Duration) -> Duration {
+    fn silence(&self, run: &ProcessId, now: Duration) -> Duration {
         let link = self.links.get(run);
         let since = link.and_then(|link| link.unanswered_since);
         since.map_or(Duration::ZERO, |since| now.saturating_sub(since))
     }
 
     /// Whether nothing was said to a host for too long.
-    pub fn is_due(&self, run: &Holder, now: Duration) -> bool {
+    pub fn is_due(&self, run: &ProcessId, now: Duration) -> bool {
         let said_at = self.links.get(run).and_then(|link| link.said_at);
         said_at.is_none_or(|said_at| now.saturating_sub(said_at) >= HEARTBEAT)
     }
 
     /// Takes note that a host is being asked. Returns the question's number.
-    pub fn say(&mut self, run: &Holder, now: Duration) -> u64 {
+    pub fn say(&mut self, run: &ProcessId, now: Duration) -> u64 {
         self.number += 1;
         let link = self.links.entry(run.clone()).or_default();
         link.said_at = Some(now);
@@ -127,14 +127,14 @@
     }
 
     /// Takes note that a host has answered.
-    pub fn heard(&mut self, run: &Holder, now: Duration) {
+    pub fn heard(&mut self, run: &ProcessId, now: Duration) {
         let link = self.links.entry(run.clone()).or_default();
         link.heard_at = Some(now);
         link.unanswered_since = None;
     }
 
     /// How long ago a host was last heard, in milliseconds.
-    pub fn heard_ms(&self, run: &Holder, now: Duration) -> Option<u64> {
+    pub fn heard_ms(&self, run: &ProcessId, now: Duration) -> Option<u64> {
         if *run == self.own_run {
             return Some(0);
         }
--- a/coordination/src/gateway/limits/message.rs
+++ b/coordination/src/gateway/limits/message.rs
@@ -3,7 +3,7 @@
 use rosebend_state::deployment::CustomerName;
 use serde::{Deserialize, Serialize};
 
-use crate::gateway::ledger::Holder;
+use crate::gateway::ledger::ProcessId;
 use crate::gateway::limits::Group;
 
 /// What a host asks an allocator, and tells it.
@@ -11,9 +11,9 @@
 #[derive(Deserialize, Serialize)]
 pub struct Ask {
     /// The run that asks.
-    pub from: Holder,
+    pub from: ProcessId,
     /// The run that is asked; another run of the same host does not answer.
-    pub to: Holder,
+    pub to: ProcessId,
     /// Grows with each question of a run.
     pub number: u64,
     /// Groups of customers for which the one that asks keeps to the one that is
@@ -53,9 +53,9 @@
 #[derive(Deserialize, Serialize)]
 pub struct Answer {
     /// The run that answers.
-    pub from: Holder,
+    pub from: ProcessId,
     /// The run that asked.
-    pub to: Holder,
+    pub to: ProcessId,
     /// The question's number.
     pub number: u64,
     /// What is granted.
--- a/coordination/src/gateway/pending_changes.rs
+++ b/coordination/src/gateway/pending_changes.rs
@@ -18,7 +18,7 @@
 use crate::gateway::escrow::terms::EscrowTerms;
 use crate::gateway::escrow::{Fences, GrantId, SLOTS};
 use crate::gateway::history::{ledger_row, partition_of};
-use crate::gateway::ledger::{Account, Claim, Grant, Holder, Holding, Ledger};
+use crate::gateway::ledger::{Account, Claim, Grant, Holding, Ledger, ProcessId};
 
 /// Most bytes of one transaction before its encoding, which adds a third; a
 /// call holds 1 MB.
@@ -44,7 +44,7 @@
         /// Budget of the program.
         budget_tokens: u64,
         /// Holders that are gone, whose tokens it may have if it needs them.
-        gone: Vec<Holder>,
+        gone: Vec<ProcessId>,
         /// Slots that may have granted from the budget what the ledger does not
         /// have.
         escrow: EscrowTerms,
@@ -132,7 +132,7 @@
 #[derive(Debug)]
 pub struct PendingChanges {
     /// This run of this host's process.
-    holder: Holder,
+    holder: ProcessId,
     /// Turns that run here and have tokens, or ask for them.
     running: HashSet<AttemptId>,
     known: HashMap<ProgramKey, Known>,
@@ -147,7 +147,7 @@
 
 impl PendingChanges {
     /// The changes of a process that has written nothing yet.
-    pub fn new(holder: Holder) -> Self {
+    pub fn new(holder: ProcessId) -> Self {
         Self {
             holder,
             running: HashSet::new(),
@@ -446,7 +446,7 @@
     }
 }
 
-fn apply_to(ledger: &mut Ledger, change: &Change, holder: &Holder, fences: &Fences) -> Grant {
+fn apply_to(ledger: &mut Ledger, change: &Change, holder: &ProcessId, fences: &Fences) -> Grant {
     match change {
         Change::Reserve {
             attempt,
--- a/coordination/tests/change_support/mod.rs
+++ b/coordination/tests/change_support/mod.rs
@@ -6,7 +6,7 @@
 
 use rosebend_coordination::gateway::escrow::terms::EscrowTerms;
 use rosebend_coordination::gateway::history::ledger_row;
-use rosebend_coordination::gateway::ledger::{Holder, Ledger};
+use rosebend_coordination::gateway::ledger::{Ledger, ProcessId};
 use rosebend_coordination::gateway::pending_changes::{Answer, Change, Outcome, PendingChanges};
 use rosebend_state::deployment::{Row, RowId, RowVersion, Transaction};
 
@@ -64,7 +64,7 @@
 }
 
 /// Reserves with tokens of hosts that are gone.
-pub fn reserve_with(attempt: &str, budget_tokens: u64, gone: Vec<Holder>) -> Change {
+pub fn reserve_with(attempt: &str, budget_tokens: u64, gone: Vec<ProcessId>) -> Change {
     Change::Reserve {
         attempt: attempt.to_owned(),
         most_tokens: MOST,
--- a/gateway/src/commits.rs
+++ b/gateway/src/commits.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use rosebend_coordination::gateway::history::partition_of;
-use rosebend_coordination::gateway::ledger::{Account, Holder, Holding, Ledger};
+use rosebend_coordination::gateway::ledger::{Account, Holding, Ledger, ProcessId};
 use rosebend_coordination::gateway::pending_changes::{
     Answer, Change, ChangeId, Outcome, PendingChanges,
 };
@@ -40,7 +40,7 @@
 #[derive(Debug)]
 pub struct Commits {
     /// This run of the process, under which turns reserve tokens.
-    holder: Holder,
+    holder: ProcessId,
     store: Rc<StoreClient>,
     joined: Rc<JoinedCommits>,
     partitions: RefCell<HashMap<String, Partition>>,
@@ -48,7 +48,7 @@
 
 impl Commits {
     /// No changes yet. The holder tells in ledgers whose turns run.
-    pub fn new(holder: Holder, store: Rc<StoreClient>, joined: Rc<JoinedCommits>) -> Self {
+    pub fn new(holder: ProcessId, store: Rc<StoreClient>, joined: Rc<JoinedCommits>) -> Self {
         Self {
             holder,
             store,
@@ -147,7 +147,7 @@
     }
 
     /// This run of the process.
-    pub fn holder(&self) -> &Holder {
+    pub fn holder(&self) -> &ProcessId {
         &self.holder
     }
 
@@ -236,7 +236,7 @@
 }
 
 impl Partition {
-    fn new(holder: &Holder) -> Self {
+    fn new(holder: &ProcessId) -> Self {
         Self {
             changes: PendingChanges::new(holder.clone()),
             waiters: HashMap::new(),
--- a/gateway/src/escrow.rs
+++ b/gateway/src/escrow.rs
@@ -21,7 +21,7 @@
 use rosebend_coordination::gateway::escrow::slot::{SlotId, SlotRow, SlotWrite};
 use rosebend_coordination::gateway::escrow::slots::{Owner, Slots};
 use rosebend_coordination::gateway::gatherers::Candidate;
-use rosebend_coordination::gateway::ledger::Holder;
+use rosebend_coordination::gateway::ledger::ProcessId;
 use rosebend_state::deployment::{Condition, Row, RowId, RowWrite, Transaction};
 use rosebend_transport::event::{Event, EventKind, log_event};
 use rosebend_transport::store::Transacted;
@@ -61,13 +61,13 @@
 /// The slots as this host knows them, and questions that wait for an answer.
 #[derive(Debug)]
 pub struct Escrow {
-    own_run: Holder,
+    own_run: ProcessId,
     slots: RefCell<Slots<SocketAddr>>,
     socket: OnceCell<Rc<UdpSocket>>,
     waiting: RefCell<HashMap<u64, oneshot::Sender<Reply>>>,
     next_number: Cell<u64>,
     /// Owners that did not answer, and until when they are avoided.
-    silent: RefCell<HashMap<Holder, Duration>>,
+    silent: RefCell<HashMap<ProcessId, Duration>>,
     /// Wakes up who ends this host's hold-off.
     grant_wanted: Notify,
     /// Rows by which this host gives up slots, when it stops, that may not be written.
@@ -76,7 +76,7 @@
 
 impl Escrow {
     /// No slot and no other host known.
-    pub fn new(own_run: Holder) -> Self {
+    pub fn new(own_run: ProcessId) -> Self {
         Self {
             slots: RefCell::new(Slots::new(own_run.clone())),
             own_run,
@@ -153,7 +153,7 @@
         }
     }
 
-    fn question(&self, to: &Holder, slot: &SlotId, ask: Ask) -> Question {
+    fn question(&self, to: &ProcessId, slot: &SlotId, ask: Ask) -> Question {
         let number = self.next_number.get() + 1;
         self.next_number.set(number);
         Question {
@@ -190,7 +190,7 @@
 
     async fn ask_run(
         &self,
-        run: &Holder,
+        run: &ProcessId,
         address: SocketAddr,
         slot: &SlotId,
         ask: Ask,
--- a/gateway/src/escrow/giving_up.rs
+++ b/gateway/src/escrow/giving_up.rs
@@ -7,7 +7,7 @@
 use rosebend_coordination::gateway::escrow::message::{Ask, Reply};
 use rosebend_coordination::gateway::escrow::slot::{SlotId, SlotWrite};
 use rosebend_coordination::gateway::gatherers::Candidate;
-use rosebend_coordination::gateway::ledger::Holder;
+use rosebend_coordination::gateway::ledger::ProcessId;
 use rosebend_state::deployment::RowId;
 use rosebend_transport::event::{Event, EventKind, log_event};
 
@@ -110,7 +110,7 @@
 
     /// The first host that says that it takes a slot over. One that has stopped since the
     /// table of hosts was read does not answer.
-    async fn successor(&self, slot: &SlotId) -> Option<Holder> {
+    async fn successor(&self, slot: &SlotId) -> Option<ProcessId> {
         let mut candidates = self.slots.borrow().successors(slot);
         candidates.truncate(MAX_ASKED);
         for Candidate { run, address, .. } in candidates {
@@ -121,7 +121,7 @@
         None
     }
 
-    fn address_of(&self, run: &Holder) -> Option<SocketAddr> {
+    fn address_of(&self, run: &ProcessId) -> Option<SocketAddr> {
         let slots = self.slots.borrow();
         let mut peers = slots.peers();
         Some(peers.find(|host| host.run == *run)?.address)
--- a/gateway/src/escrow/hold_off.rs
+++ b/gateway/src/escrow/hold_off.rs
@@ -7,7 +7,7 @@
 use rosebend_coordination::gateway::escrow::hold_off::{HoldOffRow, RENEWAL_INTERVAL};
 use rosebend_coordination::gateway::escrow::slot::SlotId;
 use rosebend_coordination::gateway::history::{ledgers_range, program_of_ledger};
-use rosebend_coordination::gateway::ledger::{Holder, Ledger};
+use rosebend_coordination::gateway::ledger::{Ledger, ProcessId};
 use rosebend_state::deployment::{
     ProgramKey, Row, RowId, RowRange, RowVersion, RowWrite, Transaction,
 };
@@ -115,7 +115,7 @@
 
 /// The run before this one on its host, if it died while it held off. Asks the store until
 /// it answers.
-async fn quiet_run(gateway: &Gateway) -> Option<Holder> {
+async fn quiet_run(gateway: &Gateway) -> Option<ProcessId> {
     let id = row_id(gateway);
     let host = gateway.settings().host.clone();
     let (from, to) = HoldOffRow::keys(&host);
@@ -158,7 +158,7 @@
     }
 }
 
-fn log_found(run: &Holder, reason: &'static str) {
+fn log_found(run: &ProcessId, reason: &'static str) {
     let event = Event::new(EventKind::HoldOffFound).reason(reason);
     log_event(&event.holders(run));
 }
--- a/gateway/src/feeds/serve.rs
+++ b/gateway/src/feeds/serve.rs
@@ -7,7 +7,7 @@
 use actix_http::body::{BodyStream, BoxBody, MessageBody};
 use actix_http::{Response, StatusCode};
 use bytes::Bytes;
-use rosebend_coordination::gateway::ledger::Holder;
+use rosebend_coordination::gateway::ledger::ProcessId;
 use rosebend_protocol::follow::{
     FollowAnswer, FollowError, FollowRequest, decode_request, encode_answer,
 };
@@ -30,7 +30,10 @@
     OtherRun(String),
 }
 
-fn read(message: &[u8], own_run: &Holder) -> Result<(FollowedTable, FollowRequest), MessageError> {
+fn read(
+    message: &[u8],
+    own_run: &ProcessId,
+) -> Result<(FollowedTable, FollowRequest), MessageError> {
     let request = decode_request(message)?;
     let table = FollowedTable::from_name(&request.table);
     let table = table.ok_or_else(|| MessageError::Table(request.table.clone()))?;
--- a/gateway/src/holders.rs
+++ b/gateway/src/holders.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 
 use rosebend_coordination::gateway::gatherers::Candidate;
-use rosebend_coordination::gateway::ledger::Holder;
+use rosebend_coordination::gateway::ledger::ProcessId;
 
 /// Addresses of runs that are not in the table of gateways here, at most; about 100
 /// bytes each.
@@ -15,14 +15,14 @@
 #[derive(Debug, Default)]
 pub struct HolderAddresses {
     /// Runs in the table of gateways, as this host knows it.
-    listed: RefCell<HashMap<Holder, SocketAddr>>,
+    listed: RefCell<HashMap<ProcessId, SocketAddr>>,
     /// Runs that were read from the store.
-    read: RefCell<HashMap<Holder, SocketAddr>>,
+    read: RefCell<HashMap<ProcessId, SocketAddr>>,
 }
 
 impl HolderAddresses {
     /// Where a holder answers, if that is known.
-    pub fn get(&self, holder: &Holder) -> Option<SocketAddr> {
+    pub fn get(&self, holder: &ProcessId) -> Option<SocketAddr> {
         let listed = self.listed.borrow().get(holder).copied();
         listed.or_else(|| self.read.borrow().get(holder).copied())
     }
@@ -36,7 +36,7 @@
     }
 
     /// Takes note of where a holder answers.
-    pub fn put(&self, holder: &Holder, address: SocketAddr) {
+    pub fn put(&self, holder: &ProcessId, address: SocketAddr) {
         let mut read = self.read.borrow_mut();
         if read.len() >= MAX_READ {
             read.clear();
--- a/gateway/src/joined_commits.rs
+++ b/gateway/src/joined_commits.rs
@@ -19,7 +19,7 @@
 use rosebend_coordination::gateway::gatherers::{Candidate, Gatherers};
 use rosebend_coordination::gateway::group_commit::{GroupCommit, LateId, PartId, pace};
 use rosebend_coordination::gateway::history::PARTITIONS;
-use rosebend_coordination::gateway::ledger::Holder;
+use rosebend_coordination::gateway::ledger::ProcessId;
 use rosebend_coordination::gateway::pending_changes::Answer;
 use rosebend_protocol::commit::{Committed, check_transaction};
 use rosebend_state::deployment::Transaction;
@@ -62,7 +62,7 @@
 /// The commits of this host, and those that it joins for others.
 #[derive(Debug)]
 pub struct JoinedCommits {
-    own_run: Holder,
+    own_run: ProcessId,
     store: Rc<StoreClient>,
     metrics: Rc<Metrics>,
     clock: Clock,
@@ -98,7 +98,7 @@
 impl JoinedCommits {
     /// No commits yet, and no other host known.
     pub fn new(
-        own_run: Holder,
+        own_run: ProcessId,
         store: Rc<StoreClient>,
         metrics: Rc<Metrics>,
         clock: Clock,
--- a/gateway/src/joined_commits/ask.rs
+++ b/gateway/src/joined_commits/ask.rs
@@ -10,7 +10,7 @@
 use bytes::Bytes;
 use rosebend_coordination::gateway::gatherers::Candidate;
 use rosebend_coordination::gateway::history::partitions;
-use rosebend_coordination::gateway::ledger::Holder;
+use rosebend_coordination::gateway::ledger::ProcessId;
 use rosebend_protocol::commit::{
     CommitError, Committed, decode_committed, decode_request, encode_committed, encode_request,
 };
@@ -76,7 +76,7 @@
 
 /// The transaction that this process is asked for. One that is meant for another
 /// is not committed: it may be of other hosts with another store.
-fn read(message: &[u8], own_run: &Holder) -> Result<Transaction, MessageError> {
+fn read(message: &[u8], own_run: &ProcessId) -> Result<Transaction, MessageError> {
     let request = decode_request(message)?;
     let transaction = request.transaction;
     let partition = transaction.rows().next().map(|row| row.partition.clone());
--- a/gateway/src/limits.rs
+++ b/gateway/src/limits.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 use rosebend_coordination::gateway::gatherers::Candidate;
-use rosebend_coordination::gateway::ledger::Holder;
+use rosebend_coordination::gateway::ledger::ProcessId;
 use rosebend_coordination::gateway::limits::message::{Answer, Ask};
 use rosebend_coordination::gateway::limits::stock::Demand;
 use rosebend_coordination::gateway::limits::{Decision, HostLimits, Tolerance};
@@ -55,7 +55,7 @@
 
 impl Limits {
     /// No customer and no other host known.
-    pub fn new(own_run: Holder, tolerance: Tolerance) -> Self {
+    pub fn new(own_run: ProcessId, tolerance: Tolerance) -> Self {
         Self {
             state: RefCell::new(HostLimits::new(own_run, tolerance)),
             socket: OnceCell::new(),
--- a/gateway/src/peers.rs
+++ b/gateway/src/peers.rs
@@ -15,7 +15,7 @@
 use bytes::{Bytes, BytesMut};
 use futures_util::StreamExt;
 use rosebend_coordination::gateway::escrow::slot::SlotId;
-use rosebend_coordination::gateway::ledger::Holder;
+use rosebend_coordination::gateway::ledger::ProcessId;
 use rosebend_platform::store::wait_of;
 use rosebend_state::deployment::{RowId, RowRange, RowWrite, Transaction};
 use rosebend_transport::store::{ASKED_RUN, Concern, Outgoing, StoreError};
@@ -153,7 +153,7 @@
 /// # Errors
 ///
 /// Fails when the store does not answer.
-pub async fn find(gateway: &Gateway, holder: &Holder) -> Result<Option<SocketAddr>, StoreError> {
+pub async fn find(gateway: &Gateway, holder: &ProcessId) -> Result<Option<SocketAddr>, StoreError> {
     let Some((host, _)) = holder.rsplit_once('/') else {
         return Ok(None);
     };
--- a/gateway/src/peers/row.rs
+++ b/gateway/src/peers/row.rs
@@ -3,7 +3,7 @@
 
 use std::net::{IpAddr, SocketAddr};
 
-use rosebend_coordination::gateway::ledger::Holder;
+use rosebend_coordination::gateway::ledger::ProcessId;
 use rosebend_state::deployment::Row;
 use rosebend_state::id::AvailabilityZone;
 use rosebend_util::hash_parts;
@@ -21,7 +21,7 @@
     /// Where it passes calls on; never a port or an address that none has.
     pub relay: SocketAddr,
     /// The run of the host's process that wrote the row, as HOST/RUN.
-    pub holder: Holder,
+    pub holder: ProcessId,
     /// The host's share of a processor, in thousandths of a core. Rows of older
     /// versions do not tell it: those hosts do not commit for others.
     #[serde(default)]
--- a/gateway/src/peers/table.rs
+++ b/gateway/src/peers/table.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 
 use rosebend_coordination::gateway::gatherers::Candidate;
-use rosebend_coordination::gateway::ledger::Holder;
+use rosebend_coordination::gateway::ledger::ProcessId;
 use rosebend_state::deployment::Row;
 use rosebend_state::id::AvailabilityZone;
 use rosebend_transport::event::{Event, EventKind, log_event};
@@ -57,7 +57,7 @@
     }
 
     /// Whether a run of a gateway is there.
-    pub fn has(&self, holder: &Holder) -> bool {
+    pub fn has(&self, holder: &ProcessId) -> bool {
         self.peers.values().any(|peer| peer.holder == *holder)
     }
 
--- a/gateway/src/recall.rs
+++ b/gateway/src/recall.rs
@@ -15,7 +15,7 @@
 use futures_util::future::try_join_all;
 use http::{Method, Request};
 use http_body_util::{BodyExt, Full, Limited};
-use rosebend_coordination::gateway::ledger::{Holder, Holding};
+use rosebend_coordination::gateway::ledger::{Holding, ProcessId};
 use rosebend_state::deployment::{AttemptId, ProgramKey, RowVersion};
 use rosebend_transport::connection::{Connection, ConnectionError};
 use rosebend_transport::event::{Event, EventKind, log_event};
@@ -40,7 +40,7 @@
 #[derive(Deserialize, Serialize)]
 struct Question {
     program: ProgramKey,
-    holder: Holder,
+    holder: ProcessId,
     /// Turns that have a reservation.
     turns: Vec<AttemptId>,
 }
@@ -49,7 +49,7 @@
 #[derive(Deserialize, Serialize)]
 struct Statement {
     /// The process that answers.
-    holder: Holder,
+    holder: ProcessId,
     /// Those of the turns that still run.
     running: Vec<AttemptId>,
 }
@@ -80,7 +80,7 @@
 #[derive(Debug, Default)]
 pub struct Recalled {
     /// Holders that are gone, whose tokens a turn may have if it needs them.
-    pub gone: Vec<Holder>,
+    pub gone: Vec<ProcessId>,
     /// Whether a turn that has ended is about to be settled.
     pub is_settling: bool,
     /// Version of the ledger whose holders were asked.
@@ -153,7 +153,7 @@
 }
 
 /// Where a holder answers. Only the store tells that a run is not there any more.
-async fn address_of(gateway: &Gateway, holder: &Holder) -> Result<Option<SocketAddr>, Refusal> {
+async fn address_of(gateway: &Gateway, holder: &ProcessId) -> Result<Option<SocketAddr>, Refusal> {
     if let Some(address) = gateway.holders.get(holder) {
         return Ok(Some(address));
     }
@@ -165,7 +165,7 @@
     Ok(found)
 }
 
-fn unanswered(holder: &Holder) -> Event {
+fn unanswered(holder: &ProcessId) -> Event {
     Event::new(EventKind::HolderSilent).holders(holder)
 }
 
--- a/gateway/src/recent_history.rs
+++ b/gateway/src/recent_history.rs
@@ -17,7 +17,7 @@
 use rosebend_coordination::gateway::avoidance::Avoidance;
 use rosebend_coordination::gateway::gatherers::{Candidate, strong};
 use rosebend_coordination::gateway::history::Turn;
-use rosebend_coordination::gateway::ledger::Holder;
+use rosebend_coordination::gateway::ledger::ProcessId;
 use rosebend_coordination::gateway::recent_programs::{RecentPrograms, keeper};
 use rosebend_protocol::recent::{
     KeepRequest, RecentError, RecentRequest, decode_keep, decode_kept, decode_request, decode_rows,
@@ -43,7 +43,7 @@
 /// What this host keeps, and the hosts of its availability zone.
 #[derive(Debug)]
 pub struct RecentHistory {
-    own_run: Holder,
+    own_run: ProcessId,
     hosts: RefCell<Vec<Candidate<SocketAddr>>>,
     avoidance: RefCell<Avoidance>,
     programs: RefCell<RecentPrograms>,
@@ -63,7 +63,7 @@
 
 impl RecentHistory {
     /// Nothing kept, and no other host known.
-    pub fn new(own_run: Holder) -> Self {
+    pub fn new(own_run: ProcessId) -> Self {
         Self {
             own_run,
             hosts: RefCell::default(),
--- a/gateway/src/spending.rs
+++ b/gateway/src/spending.rs
@@ -5,7 +5,7 @@
 
 use rosebend_coordination::gateway::escrow::terms::EscrowTerms;
 use rosebend_coordination::gateway::history::partition_of;
-use rosebend_coordination::gateway::ledger::Holder;
+use rosebend_coordination::gateway::ledger::ProcessId;
 use rosebend_coordination::gateway::pending_changes::{Change, Outcome};
 use rosebend_state::deployment::{AttemptId, ProgramHeader, RowWrite};
 use rosebend_transport::event::{Amount, Event, EventKind, log_event};
@@ -197,7 +197,7 @@
     }
 
     /// Asks for the turn's most, with what it may have of hosts that are gone.
-    fn ask(&mut self, gone: Vec<Holder>) {
+    fn ask(&mut self, gone: Vec<ProcessId>) {
         let change = Change::Reserve {
             attempt: self.attempt.clone(),
             most_tokens: self.most_tokens,
