--- a/coordination/src/gateway/ledger.rs
+++ b/coordination/src/gateway/ledger.rs
@@ -1,17 +1,23 @@
-//! What a program has spent, and what its running turns may still spend.
+//! The ledger of one program: the tokens that it has spent of its budget, and
+//! those that its running turns have reserved.
 //!
-//! A turn reserves its most before a token of it is handed out and settles
-//! what it really handed out at its end. Until then its most counts as spent,
-//! since it may be. A host that is gone cannot say how its turns ended: their
-//! tokens are forgiven, of each program at most one turn's most, and only when
-//! the budget does not hold a turn otherwise. So a program gets its budget, and
-//! after the death of a host at most one turn's most beyond it.
+//! A turn is one call of a model. It reserves its maximum output tokens before
+//! any token is delivered to the caller, and settles the tokens that were
+//! actually delivered when it ends. Until then the whole reservation counts
+//! against the budget, since the turn may still use it.
 //!
-//! Nothing is reserved for a turn that has not come. A host that did, to save the
-//! write before the next turn, left tokens behind with each death that no turn
-//! had used, and nobody could tell them from those that one had: programs were
-//! refused although their budgets held the turn. Where hosts commit together the
-//! write costs no call of its own.
+//! A gateway process that died cannot report how its turns ended, so their
+//! reservations would count forever. A turn that the budget would otherwise
+//! reject may write off such reservations, by no more than it lacks. The write-offs
+//! of a program never exceed the maximum output tokens of one turn in total, which
+//! limits by how much the deaths of processes can overspend a budget.
+//!
+//! A reservation is made only for a turn that has arrived. When processes reserved
+//! tokens in advance, to save the write before the next turn, each death left
+//! reservations that no turn had used. They could not be told apart from those of
+//! turns that had run, and programs were rejected although their budgets had room
+//! for the turn. Where several gateways commit in one batch, the write of a
+//! reservation needs no store call of its own.
 
 use std::collections::BTreeMap;
 use std::collections::btree_map::Entry;
@@ -28,106 +34,113 @@
 /// that its predecessor ran.
 pub type ProcessId = String;
 
-/// Spending of one program.
+/// Tokens that one program has spent and reserved.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Ledger {
-    /// Tokens of turns that ended.
+    /// Tokens of settled turns, except those in `granted`.
     spent_tokens: u64,
-    /// Running turns.
+    /// Reservations of running turns, by attempt.
     #[serde(default, skip_serializing_if = "BTreeMap::is_empty")]
     reserved: BTreeMap<AttemptId, Reservation>,
-    /// Tokens of gone holders that are not counted any more although they may
-    /// have been handed out; never more than one turn's most.
+    /// Tokens that were written off: they no longer count against the budget
+    /// although dead processes may have delivered them. Includes
+    /// `forgiven_slot_tokens`. A write-off never raises the sum above the maximum
+    /// output tokens of the turn that needs it.
     #[serde(default, skip_serializing_if = "is_zero")]
     forgiven_tokens: u64,
-    /// The part of `forgiven_tokens` that slots may have granted whose owners are
-    /// gone; it is withheld no more.
+    /// The part of `forgiven_tokens` that escrow slots with dead owners may have
+    /// granted. It is no longer withheld from the budget.
     #[serde(default, skip_serializing_if = "is_zero")]
     forgiven_slot_tokens: u64,
-    /// Tokens of turns that ran while the store was unavailable, by their grants.
-    /// They stay apart so that adding one twice makes no difference.
+    /// Tokens of turns that ran on escrow grants while the store was unavailable,
+    /// by grant. The grants are kept apart from `spent_tokens` so that settling one
+    /// twice counts it once.
     #[serde(default, skip_serializing_if = "BTreeMap::is_empty")]
     granted: BTreeMap<GrantId, u64>,
-    /// Whether a turn of a route that takes grants has reserved or settled here.
+    /// Whether a turn of a route that takes escrow grants has reserved tokens in
+    /// this ledger, or a grant was settled in it.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     may_have_grants: bool,
-    /// Slots that are closed for the program, by the fences that their owners knew. The
-    /// ledger may be written only while these are still the fences.
+    /// Escrow slots that are closed for the program, with the fence that each owner
+    /// reported. The ledger may be written only while these fences are unchanged.
     #[serde(default, skip_serializing_if = "BTreeMap::is_empty")]
     closed_at_fences: Fences,
 }
 
-/// The most of a running turn.
+/// The reservation of a running turn.
 #[derive(Clone, Debug, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
 struct Reservation {
+    /// Maximum output tokens of the turn, less what was written off.
     tokens: u64,
-    /// Who runs the turn.
+    /// The process that runs the turn and holds the reservation.
     holder: ProcessId,
 }
 
-/// What fills a program's budget, for the log.
+/// Tokens that count against a program's budget, by state.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Account {
-    /// Tokens of turns that ended.
+    /// Tokens of settled turns.
     pub spent_tokens: u64,
-    /// Tokens reserved for turns that run.
+    /// Tokens reserved for running turns.
     pub reserved_tokens: u64,
-    /// Who reserved, and how much.
-    pub held: BTreeMap<ProcessId, u64>,
+    /// Reserved tokens by the process that holds the reservations.
+    pub reserved_by_process: BTreeMap<ProcessId, u64>,
 }
 
-/// What one process holds of a program's budget.
+/// The reservations that one process holds in a ledger.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Holding {
-    /// The process.
-    pub holder: ProcessId,
-    /// Turns whose most it reserved.
+pub struct ProcessReservations {
+    /// The process that holds them.
+    pub process: ProcessId,
+    /// Turns for which it holds a reservation.
     pub turns: Vec<AttemptId>,
 }
 
-impl Holding {
-    fn of(holder: &ProcessId) -> Self {
+impl ProcessReservations {
+    fn of(process: &ProcessId) -> Self {
         Self {
-            holder: holder.clone(),
+            process: process.clone(),
             turns: Vec::new(),
         }
     }
 }
 
-/// A turn that wants tokens.
+/// A request of a turn for a reservation.
 #[derive(Clone, Copy, Debug)]
-pub struct Claim<'a> {
-    /// Who runs it.
-    pub holder: &'a ProcessId,
+pub struct ReservationRequest<'a> {
+    /// The process that runs the turn.
+    pub process: &'a ProcessId,
     /// The turn.
     pub attempt: &'a AttemptId,
-    /// Most tokens that it generates.
-    pub most_tokens: u64,
+    /// Maximum output tokens of the turn, which are reserved.
+    pub max_output_tokens: u64,
     /// Budget of the program.
     pub budget_tokens: u64,
-    /// Slots that may have granted from the budget what the ledger does not have.
+    /// State of the escrow slots, which may have granted tokens of the budget that
+    /// the ledger does not contain.
     pub escrow: &'a EscrowTerms,
-    /// Fences of the slots, as far as they are known.
+    /// Fences of the slots, as far as this process has read them.
     pub fences: &'a Fences,
 }
 
-/// What keeps a turn from being granted.
+/// The reason why a budget has no room for a turn.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub enum FilledBy {
-    /// Turns that ended have spent the budget.
+    /// Settled turns have spent the budget.
     Spent,
-    /// Turns that run may yet spend it.
+    /// Running turns have reserved the rest of the budget.
     Running,
-    /// A part of it is withheld for grants that the ledger may not have.
+    /// The rest of the budget is withheld for escrow grants that may be missing
+    /// from the ledger.
     Withheld,
 }
 
 impl FilledBy {
-    /// Word for logs and counters.
-    pub const fn word(self) -> &'static str {
+    /// Returns the label for logs and metrics.
+    pub const fn as_str(self) -> &'static str {
         match self {
             Self::Spent => "spent",
             Self::Running => "running",
@@ -137,171 +150,197 @@
 }
 
 impl Account {
-    /// What keeps a budget from holding a turn that it does not hold.
-    pub fn filled_by(&self, most_tokens: u64, budget_tokens: u64) -> FilledBy {
-        let wanted = self.spent_tokens.saturating_add(most_tokens);
-        if wanted > budget_tokens {
+    /// Returns the reason why a budget has no room for a turn. The result is
+    /// meaningful only if the turn was rejected.
+    pub fn filled_by(&self, max_output_tokens: u64, budget_tokens: u64) -> FilledBy {
+        let needed = self.spent_tokens.saturating_add(max_output_tokens);
+        if needed > budget_tokens {
             return FilledBy::Spent;
         }
-        match wanted.saturating_add(self.reserved_tokens) > budget_tokens {
+        match needed.saturating_add(self.reserved_tokens) > budget_tokens {
             true => FilledBy::Running,
             false => FilledBy::Withheld,
         }
     }
 }
 
-/// Whether a turn may run.
+/// The result of a request for a reservation.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Grant {
-    /// Its most is reserved.
+pub enum ReservationOutcome {
+    /// The tokens are reserved.
     Reserved,
-    /// The budget does not hold it.
+    /// The budget has no room for the turn.
     Exhausted,
 }
 
 impl Ledger {
-    /// Tokens that are spent or may yet be spent.
+    /// Returns the tokens that are spent or reserved.
     pub fn committed_tokens(&self) -> u64 {
         let account = self.account();
         account.spent_tokens.saturating_add(account.reserved_tokens)
     }
 
-    /// What the tokens are committed for.
+    /// Returns the tokens that count against the budget, by state and by process.
     pub fn account(&self) -> Account {
-        let mut held: BTreeMap<ProcessId, u64> = BTreeMap::new();
+        let mut reserved_by_process: BTreeMap<ProcessId, u64> = BTreeMap::new();
         for reservation in self.reserved.values() {
-            add(held.entry(reservation.holder.clone()), reservation.tokens);
+            add_tokens(
+                reserved_by_process.entry(reservation.holder.clone()),
+                reservation.tokens,
+            );
         }
         Account {
             spent_tokens: self.spent_tokens.saturating_add(self.granted_tokens()),
-            reserved_tokens: sum(self.reserved.values().map(|turn| turn.tokens)),
-            held,
+            reserved_tokens: saturating_sum(self.reserved.values().map(|turn| turn.tokens)),
+            reserved_by_process,
         }
     }
 
-    /// Whether a holder has a turn's most reserved.
-    pub fn is_reserved_by(&self, attempt: &AttemptId, holder: &ProcessId) -> bool {
+    /// Returns whether a process holds the reservation of a turn.
+    pub fn is_reserved_by(&self, attempt: &AttemptId, process: &ProcessId) -> bool {
         let reservation = self.reserved.get(attempt);
-        reservation.is_some_and(|reservation| reservation.holder == *holder)
+        reservation.is_some_and(|reservation| reservation.holder == *process)
     }
 
-    /// Who holds tokens, for which turns.
-    pub fn holdings(&self) -> Vec<Holding> {
-        let mut holdings: BTreeMap<&ProcessId, Holding> = BTreeMap::new();
+    /// Returns the turns with a reservation, grouped by the process that holds it.
+    pub fn reservations_by_process(&self) -> Vec<ProcessReservations> {
+        let mut by_process: BTreeMap<&ProcessId, ProcessReservations> = BTreeMap::new();
         for (attempt, reservation) in &self.reserved {
-            let holder = &reservation.holder;
-            let holding = holdings
-                .entry(holder)
-                .or_insert_with(|| Holding::of(holder));
-            holding.turns.push(attempt.clone());
+            let process = &reservation.holder;
+            let reservations = by_process
+                .entry(process)
+                .or_insert_with(|| ProcessReservations::of(process));
+            reservations.turns.push(attempt.clone());
         }
-        holdings.into_values().collect()
+        by_process.into_values().collect()
     }
 
-    /// Reserves a turn's most for a holder, unless that would go beyond the
-    /// budget; of what gone holders held it takes only what it needs. A turn that
-    /// has its reservation already keeps it.
-    pub fn reserve(&mut self, turn: &Claim<'_>, gone: &[ProcessId]) -> Grant {
-        if self.reserved.contains_key(turn.attempt) {
-            return Grant::Reserved;
+    /// Reserves the maximum output tokens of a turn, unless that would exceed the
+    /// budget.
+    ///
+    /// Reservations of `dead_processes` are written off by no more than the turn
+    /// lacks. A turn that already has a reservation keeps it. The ledger is unchanged
+    /// if the turn is rejected.
+    pub fn reserve(
+        &mut self,
+        request: &ReservationRequest<'_>,
+        dead_processes: &[ProcessId],
+    ) -> ReservationOutcome {
+        if self.reserved.contains_key(request.attempt) {
+            return ReservationOutcome::Reserved;
         }
         let mut next = self.clone();
-        next.close(turn.escrow, turn.fences);
-        let available = next.forgive_slots(turn);
-        for holder in gone {
-            next.forgive(holder, turn.most_tokens, available);
+        next.update_closed_slots(request.escrow, request.fences);
+        let available = next.write_off_slots(request);
+        for process in dead_processes {
+            next.write_off_reservations(process, request.max_output_tokens, available);
         }
-        if !next.holds(turn.most_tokens, available) {
-            return Grant::Exhausted;
+        if !next.fits(request.max_output_tokens, available) {
+            return ReservationOutcome::Exhausted;
         }
         let reservation = Reservation {
-            tokens: turn.most_tokens,
-            holder: turn.holder.clone(),
+            tokens: request.max_output_tokens,
+            holder: request.process.clone(),
         };
-        next.reserved.insert(turn.attempt.clone(), reservation);
+        next.reserved.insert(request.attempt.clone(), reservation);
         *self = next;
-        Grant::Reserved
+        ReservationOutcome::Reserved
     }
 
-    /// Whether a budget holds so many tokens more.
-    pub fn holds(&self, tokens: u64, budget_tokens: u64) -> bool {
+    /// Returns whether a budget has room for additional tokens.
+    pub fn fits(&self, tokens: u64, budget_tokens: u64) -> bool {
         self.committed_tokens().saturating_add(tokens) <= budget_tokens
     }
 
-    /// Takes note of slots that were closed. Those whose owner has died since are open.
-    fn close(&mut self, escrow: &EscrowTerms, fences: &Fences) {
+    /// Adds the slots that their owners have closed, and removes those whose fence
+    /// has changed since: a slot that was taken over after the death of its owner is
+    /// open again.
+    fn update_closed_slots(&mut self, escrow: &EscrowTerms, fences: &Fences) {
         if let EscrowTerms::Eligible { closed, .. } = escrow {
             self.closed_at_fences.extend(closed);
         }
         self.closed_at_fences
-            .retain(|slot, fence| fences.get(slot).is_none_or(|known| known == fence));
+            .retain(|slot, fence| fences.get(slot).is_none_or(|current| current == fence));
     }
 
-    /// Slots that are closed for the program, with the fences on which that rests.
+    /// Returns the slots that are closed for the program, with the fences for which
+    /// that holds.
     pub const fn closed_at_fences(&self) -> &Fences {
         &self.closed_at_fences
     }
 
-    /// What of the budget may be spent by this ledger: all but the shares of open
-    /// slots. Of slots whose owners are gone it takes as much as the turn lacks, as
-    /// long as all that was ever forgiven is no more than the turn's most.
-    fn forgive_slots(&mut self, turn: &Claim<'_>) -> u64 {
+    /// Returns the part of the budget that reservations may use: the budget without
+    /// the shares of open slots.
+    ///
+    /// Writes off shares of open slots whose owners are dead, by no more than the
+    /// turn lacks, and only until all write-offs of the ledger reach the maximum
+    /// output tokens of the turn.
+    fn write_off_slots(&mut self, request: &ReservationRequest<'_>) -> u64 {
         let EscrowTerms::Eligible {
             takes_grants, gone, ..
-        } = turn.escrow
+        } = request.escrow
         else {
-            return turn.budget_tokens;
+            return request.budget_tokens;
         };
         self.may_have_grants |= *takes_grants;
         if !self.may_have_grants {
-            return turn.budget_tokens;
+            return request.budget_tokens;
         }
-        let share = share_tokens(turn.budget_tokens);
+        let share = share_tokens(request.budget_tokens);
         let is_open = |slot: &SlotIndex| !self.closed_at_fences.contains_key(slot);
-        let open = (0..SLOTS).filter(is_open).count() as u64;
-        let lost = gone.iter().copied().filter(is_open).count() as u64;
-        let withheld = share.saturating_mul(open);
-        let left = withheld.saturating_sub(self.forgiven_slot_tokens);
-        let available = turn.budget_tokens.saturating_sub(left);
-        let wanted = self.committed_tokens().saturating_add(turn.most_tokens);
-        let missing = wanted.saturating_sub(available);
-        let allowed = turn.most_tokens.saturating_sub(self.forgiven_tokens);
-        let forgiven = missing
-            .min(allowed)
-            .min(left)
-            .min(share.saturating_mul(lost));
-        self.forgiven_tokens = self.forgiven_tokens.saturating_add(forgiven);
-        self.forgiven_slot_tokens = self.forgiven_slot_tokens.saturating_add(forgiven);
-        available.saturating_add(forgiven)
+        let open_slots = (0..SLOTS).filter(is_open).count() as u64;
+        let ownerless_slots = gone.iter().copied().filter(is_open).count() as u64;
+        let withheld = share.saturating_mul(open_slots);
+        let remaining = withheld.saturating_sub(self.forgiven_slot_tokens);
+        let available = request.budget_tokens.saturating_sub(remaining);
+        let needed = self
+            .committed_tokens()
+            .saturating_add(request.max_output_tokens);
+        let shortfall = needed.saturating_sub(available);
+        let max_write_off = request
+            .max_output_tokens
+            .saturating_sub(self.forgiven_tokens);
+        let written_off = shortfall
+            .min(max_write_off)
+            .min(remaining)
+            .min(share.saturating_mul(ownerless_slots));
+        self.forgiven_tokens = self.forgiven_tokens.saturating_add(written_off);
+        self.forgiven_slot_tokens = self.forgiven_slot_tokens.saturating_add(written_off);
+        available.saturating_add(written_off)
     }
 
-    /// Stops counting as much of what a gone holder held as a turn lacks of what is
-    /// available, as long as all that was ever forgiven is no more than the turn's
-    /// most.
-    fn forgive(&mut self, holder: &ProcessId, most_tokens: u64, available_tokens: u64) {
-        let wanted = self.committed_tokens().saturating_add(most_tokens);
-        let missing = wanted.saturating_sub(available_tokens);
-        let allowed = most_tokens.saturating_sub(self.forgiven_tokens);
-        let mut left = missing.min(allowed);
+    /// Writes off reservations of a dead process, by no more than a turn lacks of the
+    /// available tokens, and only until all write-offs of the ledger reach the
+    /// maximum output tokens of the turn.
+    fn write_off_reservations(
+        &mut self,
+        process: &ProcessId,
+        max_output_tokens: u64,
+        available_tokens: u64,
+    ) {
+        let needed = self.committed_tokens().saturating_add(max_output_tokens);
+        let shortfall = needed.saturating_sub(available_tokens);
+        let max_write_off = max_output_tokens.saturating_sub(self.forgiven_tokens);
+        let mut remaining = shortfall.min(max_write_off);
         let turns = self.reserved.values_mut();
-        for turn in turns.filter(|turn| turn.holder == *holder) {
-            let forgiven = left.min(turn.tokens);
-            turn.tokens -= forgiven;
-            left -= forgiven;
-            self.forgiven_tokens = self.forgiven_tokens.saturating_add(forgiven);
+        for turn in turns.filter(|turn| turn.holder == *process) {
+            let written_off = remaining.min(turn.tokens);
+            turn.tokens -= written_off;
+            remaining -= written_off;
+            self.forgiven_tokens = self.forgiven_tokens.saturating_add(written_off);
         }
     }
 
-    /// Replaces a turn's reservation by what it handed out. Settling a turn
-    /// that has none changes nothing, so that it may be done twice.
+    /// Replaces the reservation of a turn by the tokens that were delivered. Does
+    /// nothing for a turn without a reservation, so that a turn may be settled twice.
     pub fn settle(&mut self, attempt: &AttemptId, tokens: u64) {
         if self.reserved.remove(attempt).is_some() {
             self.spent_tokens = self.spent_tokens.saturating_add(tokens);
         }
     }
 
-    /// Adds what a turn handed out by a grant, in place of its reservation if it
-    /// has one. Adding a grant twice changes nothing.
+    /// Adds the tokens that a turn delivered under an escrow grant, and removes its
+    /// reservation if it has one. Does nothing more when a grant is settled twice.
     pub fn settle_grant(&mut self, attempt: &AttemptId, grant: &GrantId, tokens: u64) {
         self.may_have_grants = true;
         self.reserved.remove(attempt);
@@ -309,36 +348,38 @@
     }
 
     fn granted_tokens(&self) -> u64 {
-        sum(self.granted.values().copied())
+        saturating_sum(self.granted.values().copied())
     }
 
-    /// The ledger as a row's value.
+    /// Encodes the ledger as the value of a row.
     ///
     /// # Panics
     ///
-    /// Panics when a ledger has no JSON form, which none has.
+    /// Panics if the ledger cannot be encoded as JSON. That cannot happen, since it
+    /// consists of strings, numbers, booleans and maps with string or integer keys.
     pub fn encode(&self) -> Vec<u8> {
-        serde_json::to_vec(self).expect("strings and numbers have a JSON form")
+        serde_json::to_vec(self).expect("a ledger is always encodable as JSON")
     }
 
-    /// Reads a row's value.
+    /// Decodes the value of a row.
     ///
     /// # Errors
     ///
-    /// Fails when the value is no ledger.
+    /// Returns an error if the value is not a valid ledger, or has fields that this
+    /// version does not define.
     pub fn decode(value: &[u8]) -> Result<Self, serde_json::Error> {
         serde_json::from_slice(value)
     }
 }
 
-/// Adds tokens of one holder. A ledger may be any other writer's: sums stop at
-/// the largest number, which no budget holds, rather than start at zero again.
-fn add(held: Entry<'_, ProcessId, u64>, tokens: u64) {
-    let held = held.or_default();
-    *held = held.saturating_add(tokens);
+/// Adds tokens to the sum of one process. The sum saturates: a ledger may have been
+/// written by anyone, and a sum that wraps around would free its budget.
+fn add_tokens(sum: Entry<'_, ProcessId, u64>, tokens: u64) {
+    let sum = sum.or_default();
+    *sum = sum.saturating_add(tokens);
 }
 
-fn sum(tokens: impl Iterator<Item = u64>) -> u64 {
+fn saturating_sum(tokens: impl Iterator<Item = u64>) -> u64 {
     tokens.fold(0, u64::saturating_add)
 }
 
--- a/coordination/src/gateway/pending_changes.rs
+++ b/coordination/src/gateway/pending_changes.rs
@@ -1,11 +1,13 @@
-//! Changes of programs gathered into transactions, for one partition.
+//! Changes of program ledgers, batched into transactions, for one partition.
 //!
-//! At most one transaction is on its way; what comes meanwhile is gathered for
-//! the next. Each program's ledger is written under the version at which it
-//! was known. When that version is old, the store's answer brings the present
-//! ledger and the changes are applied to it anew. Every change may be applied
-//! twice without a difference, so a transaction whose answer was lost is simply
-//! built again: whichever of the two comes later fails its condition.
+//! At most one transaction is in flight; changes that arrive meanwhile are queued
+//! for the next one. Each ledger is written on the condition that its row still has
+//! the version at which it was cached. If it has a newer one, the store's answer
+//! contains the current ledger and the changes are applied to that.
+//!
+//! All changes are idempotent. A transaction whose answer was lost can therefore be
+//! built again: whichever of the two copies reaches the store later fails its
+//! condition.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 
@@ -18,59 +20,62 @@
 use crate::gateway::escrow::terms::EscrowTerms;
 use crate::gateway::escrow::{Fences, GrantId, SLOTS};
 use crate::gateway::history::{ledger_row, partition_of};
-use crate::gateway::ledger::{Account, Claim, Grant, Holding, Ledger, ProcessId};
+use crate::gateway::ledger::{
+    Account, Ledger, ProcessId, ProcessReservations, ReservationOutcome, ReservationRequest,
+};
 
-/// Most bytes of one transaction before its encoding, which adds a third; a
-/// call holds 1 MB.
-const MAX_BYTES: usize = 600_000;
+/// Bytes of turn rows at which a transaction takes no further changes. The encoding
+/// of a transaction adds a third, and a store call may have 1 MB.
+const MAX_TRANSACTION_BYTES: usize = 600_000;
 
-/// Entries for a program's ledger: its condition and its write.
+/// Transaction entries for one ledger: its condition and its write.
 const LEDGER_ENTRIES: usize = 2;
-/// Most entries for the fences on which a ledger rests.
-const FENCE_ENTRIES: usize = SLOTS as usize;
+/// Maximum number of transaction entries for the fences that a ledger depends on.
+const MAX_FENCE_ENTRIES: usize = SLOTS as usize;
 
-/// Names a change until its outcome is known.
+/// Identifies a change until its outcome is reported.
 pub type ChangeId = u64;
 
-/// A change of a program.
+/// A change of a program's ledger.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Change {
-    /// A turn wants to run.
+    /// Reserves tokens for a turn.
     Reserve {
         /// The turn.
         attempt: AttemptId,
-        /// Most tokens that it generates.
-        most_tokens: u64,
+        /// Maximum output tokens of the turn, which are reserved.
+        max_output_tokens: u64,
         /// Budget of the program.
         budget_tokens: u64,
-        /// Holders that are gone, whose tokens it may have if it needs them.
-        gone: Vec<ProcessId>,
-        /// Slots that may have granted from the budget what the ledger does not
-        /// have.
+        /// Processes that are presumed dead. Their reservations may be written off
+        /// if the turn does not fit the budget otherwise.
+        dead_processes: Vec<ProcessId>,
+        /// State of the escrow slots, which may have granted tokens of the budget
+        /// that the ledger does not contain.
         escrow: EscrowTerms,
     },
-    /// A turn has ended.
+    /// Settles a turn that ran on a reservation.
     Settle {
         /// The turn.
         attempt: AttemptId,
-        /// Tokens that were handed out.
+        /// Tokens that were delivered.
         tokens: u64,
-        /// Rows that become durable with the end.
+        /// Rows that are written in the same transaction.
         rows: Vec<RowWrite>,
     },
-    /// A turn has ended that ran by a grant.
+    /// Settles a turn that ran on an escrow grant.
     SettleGrant {
         /// The turn.
         attempt: AttemptId,
         /// The grant.
         grant: GrantId,
-        /// Tokens that were handed out.
+        /// Tokens that were delivered.
         tokens: u64,
     },
 }
 
 impl Change {
-    /// The turn that it is of.
+    /// Returns the turn that the change belongs to.
     const fn attempt(&self) -> &AttemptId {
         match self {
             Self::Reserve { attempt, .. }
@@ -80,42 +85,42 @@
     }
 }
 
-/// How a change ended.
+/// The outcome of a change.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Outcome {
-    /// It is durable.
+    /// The change is durable.
     Durable,
-    /// The budget does not hold the turn, by a ledger of this version; zero
-    /// when the ledger was only believed to be absent.
+    /// The budget has no room for the turn according to the cached ledger, which may
+    /// be older than the ledger in the store.
     Exhausted,
-    /// The program's row in the store is no ledger; nothing was written.
+    /// The program's ledger in the store cannot be decoded; nothing was written.
     Unreadable,
 }
 
-/// How a transaction ended.
+/// The outcome of a transaction.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Answer {
-    /// It was applied, and gave its rows this version.
+    /// It was applied, and its rows have this version.
     Applied(RowVersion),
-    /// A condition did not hold; these are the present rows.
+    /// A condition did not hold; these are the current rows.
     Conflict(Vec<Row>),
-    /// It was not applied, or nobody knows.
+    /// It was not applied, or its outcome is unknown.
     NotKnown,
 }
 
 #[derive(Debug)]
-struct Pending {
+struct PendingChange {
     id: ChangeId,
     program: ProgramKey,
     change: Change,
 }
 
-impl Pending {
-    /// Entries that it adds to a transaction, unless the program's ledger is in it
-    /// already.
-    fn most_entries(&self) -> usize {
+impl PendingChange {
+    /// Returns the maximum number of entries that the change adds to a transaction.
+    /// It adds fewer if the transaction contains the program's ledger already.
+    fn max_entries(&self) -> usize {
         match &self.change {
-            Change::Reserve { .. } => LEDGER_ENTRIES + FENCE_ENTRIES,
+            Change::Reserve { .. } => LEDGER_ENTRIES + MAX_FENCE_ENTRIES,
             Change::SettleGrant { .. } => LEDGER_ENTRIES,
             Change::Settle { rows, .. } => LEDGER_ENTRIES + rows.len(),
         }
@@ -123,54 +128,55 @@
 }
 
 #[derive(Clone, Debug, Default)]
-struct Known {
+struct CachedLedger {
     version: RowVersion,
     ledger: Ledger,
 }
 
-/// The changes of one partition.
+/// The changes of one partition that are not durable yet, and its cached ledgers.
 #[derive(Debug)]
 pub struct PendingChanges {
-    /// This run of this host's process.
-    holder: ProcessId,
-    /// Turns that run here and have tokens, or ask for them.
+    /// This process, which holds the reservations that it makes.
+    own_process: ProcessId,
+    /// Turns that run in this process and have requested or hold tokens.
     running: HashSet<AttemptId>,
-    known: HashMap<ProgramKey, Known>,
-    /// Fences of the partition's slots, as far as a conflict has brought them.
+    cached: HashMap<ProgramKey, CachedLedger>,
+    /// Fences of the partition's escrow slots that were in the rows of a conflict.
     fences: Fences,
-    waiting: Vec<Pending>,
-    on_its_way: Vec<Pending>,
-    /// Ledgers as the transaction on its way writes them.
-    written: BTreeMap<ProgramKey, Ledger>,
+    queued: Vec<PendingChange>,
+    in_flight: Vec<PendingChange>,
+    /// Ledgers as the transaction in flight writes them.
+    in_flight_ledgers: BTreeMap<ProgramKey, Ledger>,
     next_id: ChangeId,
 }
 
 impl PendingChanges {
-    /// The changes of a process that has written nothing yet.
-    pub fn new(holder: ProcessId) -> Self {
+    /// Creates an empty queue for a process, with no ledgers cached.
+    pub fn new(own_process: ProcessId) -> Self {
         Self {
-            holder,
+            own_process,
             running: HashSet::new(),
-            known: HashMap::new(),
+            cached: HashMap::new(),
             fences: Fences::new(),
-            waiting: Vec::new(),
-            on_its_way: Vec::new(),
-            written: BTreeMap::new(),
+            queued: Vec::new(),
+            in_flight: Vec::new(),
+            in_flight_ledgers: BTreeMap::new(),
             next_id: 0,
         }
     }
 
-    /// Whether a turn that has tokens runs here.
+    /// Returns whether a turn runs in this process and has requested or holds tokens.
     pub fn is_running(&self, attempt: &AttemptId) -> bool {
         self.running.contains(attempt)
     }
 
-    /// Who holds tokens of a program, by what is known.
-    pub fn holdings(&self, program: &str) -> Vec<Holding> {
-        self.expected_ledger(program).holdings()
+    /// Returns the turns with a reservation in the program's expected ledger, grouped
+    /// by the process that holds it.
+    pub fn reservations_by_process(&self, program: &str) -> Vec<ProcessReservations> {
+        self.expected_ledger(program).reservations_by_process()
     }
 
-    /// Adds a change.
+    /// Adds a change to the queue.
     pub fn submit(&mut self, program: ProgramKey, change: Change) -> ChangeId {
         match &change {
             Change::Reserve { attempt, .. } => {
@@ -182,7 +188,7 @@
         }
         self.next_id += 1;
         let id = self.next_id;
-        self.waiting.push(Pending {
+        self.queued.push(PendingChange {
             id,
             program,
             change,
@@ -190,128 +196,145 @@
         id
     }
 
-    /// Takes note of a ledger that was read, unless a newer one is known.
-    pub fn learn(&mut self, program: &str, version: RowVersion, ledger: Ledger) {
-        let known = self.known.entry(program.to_owned()).or_default();
-        if version >= known.version {
-            *known = Known { version, ledger };
+    /// Caches a ledger that was read, unless a newer one is cached.
+    pub fn cache(&mut self, program: &str, version: RowVersion, ledger: Ledger) {
+        let cached = self.cached.entry(program.to_owned()).or_default();
+        if version >= cached.version {
+            *cached = CachedLedger { version, ledger };
         }
     }
 
-    /// Whether the program's ledger was read or written by this host.
-    pub fn knows(&self, program: &str) -> bool {
-        self.known.contains_key(program)
+    /// Returns whether the program's ledger is cached.
+    pub fn has_cached_ledger(&self, program: &str) -> bool {
+        self.cached.contains_key(program)
     }
 
-    /// The program's ledger as it was last read or written, as a row.
-    pub fn known_ledger(&self, program: &str) -> Option<Row> {
-        let known = self.known.get(program).filter(|known| known.version > 0)?;
+    /// Returns the row of the program's cached ledger, if the store has such a row.
+    pub fn cached_ledger_row(&self, program: &str) -> Option<Row> {
+        let cached = self
+            .cached
+            .get(program)
+            .filter(|cached| cached.version > 0)?;
         Some(Row {
             id: ledger_row(program),
-            version: known.version,
-            value: Some(known.ledger.encode()),
+            version: cached.version,
+            value: Some(cached.ledger.encode()),
         })
     }
 
-    /// Version of the program's ledger as it is known; zero when it is not.
-    pub fn version(&self, program: &str) -> RowVersion {
-        self.known.get(program).map_or(0, |known| known.version)
+    /// Returns the version of the program's cached ledger, or zero if none is cached.
+    pub fn cached_version(&self, program: &str) -> RowVersion {
+        self.cached.get(program).map_or(0, |cached| cached.version)
     }
 
-    /// Whether the budget holds a turn by what is known, with what waits
-    /// counted as it will be.
-    pub fn seems_to_hold(&self, program: &str, most_tokens: u64, budget_tokens: u64) -> bool {
+    /// Returns whether the budget has room for a turn in the program's expected
+    /// ledger.
+    pub fn is_expected_to_fit(
+        &self,
+        program: &str,
+        max_output_tokens: u64,
+        budget_tokens: u64,
+    ) -> bool {
         self.expected_ledger(program)
-            .holds(most_tokens, budget_tokens)
+            .fits(max_output_tokens, budget_tokens)
     }
 
-    /// What fills a program's budget by what is known, with what waits counted
-    /// as it will be.
+    /// Returns the tokens that count against the budget in the program's expected
+    /// ledger.
     pub fn account(&self, program: &str) -> Account {
         self.expected_ledger(program).account()
     }
 
+    /// Returns the cached ledger with all pending changes of the program applied.
     fn expected_ledger(&self, program: &str) -> Ledger {
-        let known = self.known.get(program);
-        let mut ledger = known.cloned().unwrap_or_default().ledger;
-        for pending in self.on_its_way.iter().chain(&self.waiting) {
+        let cached = self.cached.get(program);
+        let mut ledger = cached.cloned().unwrap_or_default().ledger;
+        for pending in self.in_flight.iter().chain(&self.queued) {
             if pending.program == program {
-                apply_to(&mut ledger, &pending.change, &self.holder, &self.fences);
+                apply_change(
+                    &mut ledger,
+                    &pending.change,
+                    &self.own_process,
+                    &self.fences,
+                );
             }
         }
         ledger
     }
 
-    /// Forgets a program; its ledger is read again when it is needed.
-    pub fn forget(&mut self, program: &str) {
-        let is_used = |pending: &Pending| pending.program == program;
-        let is_open = self.waiting.iter().chain(&self.on_its_way).any(is_used);
+    /// Removes a program's ledger from the cache, unless changes of the program are
+    /// pending. It is read again when it is needed.
+    pub fn evict(&mut self, program: &str) {
+        let is_of_program = |pending: &PendingChange| pending.program == program;
+        let is_open = self.queued.iter().chain(&self.in_flight).any(is_of_program);
         if !is_open {
-            self.known.remove(program);
+            self.cached.remove(program);
         }
     }
 
-    /// Number of changes whose outcome is open.
+    /// Returns the number of pending changes, queued or in flight.
     pub fn open_changes(&self) -> usize {
-        self.waiting.len() + self.on_its_way.len()
+        self.queued.len() + self.in_flight.len()
     }
 
-    /// Builds the next transaction, unless one is on its way or nothing waits.
-    /// Changes that the budget does not allow end here.
+    /// Builds the next transaction, unless one is in flight or the queue is empty.
+    /// Also returns the reservations that are rejected because the budget is
+    /// exhausted.
     pub fn next_transaction(&mut self) -> (Option<Transaction>, Vec<(ChangeId, Outcome)>) {
         let mut ended = Vec::new();
-        if !self.on_its_way.is_empty() {
+        if !self.in_flight.is_empty() {
             return (None, ended);
         }
         let mut bytes = 0;
         let mut rows = Vec::new();
-        let waiting = std::mem::take(&mut self.waiting);
-        for pending in waiting {
-            let entries = rows.len() + self.written.len() * LEDGER_ENTRIES + FENCE_ENTRIES;
-            let has_room = entries + pending.most_entries() <= MAX_TRANSACTION_ENTRIES;
-            let is_first = self.on_its_way.is_empty();
-            if !(is_first || has_room && bytes < MAX_BYTES) {
-                self.waiting.push(pending);
+        let queued = std::mem::take(&mut self.queued);
+        for pending in queued {
+            let entries =
+                rows.len() + self.in_flight_ledgers.len() * LEDGER_ENTRIES + MAX_FENCE_ENTRIES;
+            let has_room = entries + pending.max_entries() <= MAX_TRANSACTION_ENTRIES;
+            let is_first = self.in_flight.is_empty();
+            if !(is_first || has_room && bytes < MAX_TRANSACTION_BYTES) {
+                self.queued.push(pending);
                 continue;
             }
             match self.apply(&pending) {
-                Grant::Exhausted => {
+                ReservationOutcome::Exhausted => {
                     if let Change::Reserve { attempt, .. } = &pending.change {
                         self.running.remove(attempt);
                     }
                     ended.push((pending.id, Outcome::Exhausted));
                 }
-                Grant::Reserved => {
+                ReservationOutcome::Reserved => {
                     if let Change::Settle { rows: added, .. } = &pending.change {
                         bytes += added.iter().map(|row| row.value.len()).sum::<usize>();
                         rows.extend(added.iter().cloned());
                     }
-                    self.on_its_way.push(pending);
+                    self.in_flight.push(pending);
                 }
             }
         }
-        if self.on_its_way.is_empty() {
-            self.written.clear();
+        if self.in_flight.is_empty() {
+            self.in_flight_ledgers.clear();
             return (None, ended);
         }
         (Some(self.transaction(rows)), ended)
     }
 
-    fn apply(&mut self, pending: &Pending) -> Grant {
-        let known = self.known.get(&pending.program);
-        let ledger = self.written.entry(pending.program.clone());
-        let ledger = ledger.or_insert_with(|| known.cloned().unwrap_or_default().ledger);
-        apply_to(ledger, &pending.change, &self.holder, &self.fences)
+    fn apply(&mut self, pending: &PendingChange) -> ReservationOutcome {
+        let cached = self.cached.get(&pending.program);
+        let ledger = self.in_flight_ledgers.entry(pending.program.clone());
+        let ledger = ledger.or_insert_with(|| cached.cloned().unwrap_or_default().ledger);
+        apply_change(ledger, &pending.change, &self.own_process, &self.fences)
     }
 
     fn transaction(&mut self, mut writes: Vec<RowWrite>) -> Transaction {
-        let on_its_way = &self.on_its_way;
-        self.written
-            .retain(|program, _| on_its_way.iter().any(|pending| pending.program == *program));
+        let in_flight = &self.in_flight;
+        self.in_flight_ledgers
+            .retain(|program, _| in_flight.iter().any(|pending| pending.program == *program));
         let mut conditions = self.fence_conditions();
-        for (program, ledger) in &self.written {
+        for (program, ledger) in &self.in_flight_ledgers {
             let row = ledger_row(program);
-            let version = self.known.get(program).map_or(0, |known| known.version);
+            let version = self.cached.get(program).map_or(0, |cached| cached.version);
             conditions.push(Condition {
                 row: row.clone(),
                 version,
@@ -328,12 +351,16 @@
         }
     }
 
-    /// The fences on which the reservations on their way rest.
+    /// Returns one condition for each fence that a reservation in flight depends on.
     fn fence_conditions(&self) -> Vec<Condition> {
         let mut conditions = Vec::new();
-        for pending in &self.on_its_way {
+        for pending in &self.in_flight {
             let is_reserve = matches!(pending.change, Change::Reserve { .. });
-            let Some(ledger) = self.written.get(&pending.program).filter(|_| is_reserve) else {
+            let Some(ledger) = self
+                .in_flight_ledgers
+                .get(&pending.program)
+                .filter(|_| is_reserve)
+            else {
                 continue;
             };
             for (index, fence) in ledger.closed_at_fences() {
@@ -349,8 +376,8 @@
         conditions
     }
 
-    /// Takes note of the fences among the rows of a conflict.
-    fn take_fences(&mut self, rows: &[Row]) {
+    /// Stores the fences that are among the rows of a conflict.
+    fn record_fences(&mut self, rows: &[Row]) {
         for row in rows {
             if let Some(index) = SlotId::of_fence_row(&row.id) {
                 self.fences.insert(index, row.version);
@@ -358,66 +385,71 @@
         }
     }
 
-    /// Takes the answer to the transaction on its way.
-    pub fn answered(&mut self, answer: Answer) -> Vec<(ChangeId, Outcome)> {
-        let written = std::mem::take(&mut self.written);
-        let on_its_way = std::mem::take(&mut self.on_its_way);
+    /// Processes the answer to the transaction in flight, and returns the changes
+    /// that it completes. The others are queued again, ahead of newer ones.
+    pub fn handle_answer(&mut self, answer: Answer) -> Vec<(ChangeId, Outcome)> {
+        let in_flight_ledgers = std::mem::take(&mut self.in_flight_ledgers);
+        let in_flight = std::mem::take(&mut self.in_flight);
         match answer {
             Answer::Applied(version) => {
-                for (program, ledger) in written {
-                    self.known.insert(program, Known { version, ledger });
+                for (program, ledger) in in_flight_ledgers {
+                    self.cached
+                        .insert(program, CachedLedger { version, ledger });
                 }
-                let ids = on_its_way.into_iter().map(|pending| pending.id);
+                let ids = in_flight.into_iter().map(|pending| pending.id);
                 return ids.map(|id| (id, Outcome::Durable)).collect();
             }
             Answer::Conflict(rows) => {
-                self.take_fences(&rows);
-                let before: HashMap<&ProgramKey, Ledger> = written
+                self.record_fences(&rows);
+                let previous: HashMap<&ProgramKey, Ledger> = in_flight_ledgers
                     .keys()
-                    .filter_map(|program| Some((program, self.known.get(program)?.ledger.clone())))
+                    .filter_map(|program| Some((program, self.cached.get(program)?.ledger.clone())))
                     .collect();
-                let programs = written.keys();
+                let programs = in_flight_ledgers.keys();
                 let unreadable: HashSet<&ProgramKey> = programs
-                    .filter(|program| !self.take_present(program, &rows))
+                    .filter(|program| !self.replace_cached_ledger(program, &rows))
                     .collect();
-                let (given_up, others): (Vec<Pending>, Vec<Pending>) = on_its_way
+                let (abandoned, readable): (Vec<PendingChange>, Vec<PendingChange>) = in_flight
                     .into_iter()
                     .partition(|pending| unreadable.contains(&pending.program));
-                let (applied, again): (Vec<Pending>, Vec<Pending>) = others
+                let (applied, to_retry): (Vec<PendingChange>, Vec<PendingChange>) = readable
                     .into_iter()
-                    .partition(|pending| self.is_applied(pending, before.get(&pending.program)));
-                self.waiting.splice(0..0, again);
-                let mut ended = self.give_up(given_up);
+                    .partition(|pending| self.is_applied(pending, previous.get(&pending.program)));
+                self.queued.splice(0..0, to_retry);
+                let mut ended = self.abandon(abandoned);
                 ended.extend(applied.iter().map(|pending| (pending.id, Outcome::Durable)));
                 return ended;
             }
             Answer::NotKnown => {}
         }
-        self.waiting.splice(0..0, on_its_way);
+        self.queued.splice(0..0, in_flight);
         Vec::new()
     }
 
-    /// Whether a change is in the present ledger, as that of a transaction whose answer
-    /// was lost. `before` is the ledger that it was to change. The end of a turn with rows
-    /// is written again, since the ledger does not tell whose rows are there.
-    fn is_applied(&self, pending: &Pending, before: Option<&Ledger>) -> bool {
-        let present = self.known.get(&pending.program);
+    /// Returns whether the current ledger already contains a change, because the answer
+    /// to an earlier copy of its transaction was lost. `previous` is the ledger that the
+    /// change was applied to.
+    ///
+    /// A settlement with rows is always written again: another process may have settled
+    /// the same attempt with other rows, which the ledger does not show.
+    fn is_applied(&self, pending: &PendingChange, previous: Option<&Ledger>) -> bool {
+        let current = self.cached.get(&pending.program);
         let is_reserved = |ledger: Option<&Ledger>, attempt: &AttemptId| {
-            ledger.is_some_and(|ledger| ledger.is_reserved_by(attempt, &self.holder))
+            ledger.is_some_and(|ledger| ledger.is_reserved_by(attempt, &self.own_process))
         };
-        let present = present.map(|known| &known.ledger);
+        let current = current.map(|cached| &cached.ledger);
         match &pending.change {
-            Change::Reserve { attempt, .. } => is_reserved(present, attempt),
+            Change::Reserve { attempt, .. } => is_reserved(current, attempt),
             Change::Settle { attempt, rows, .. } => {
-                rows.is_empty() && is_reserved(before, attempt) && !is_reserved(present, attempt)
+                rows.is_empty() && is_reserved(previous, attempt) && !is_reserved(current, attempt)
             }
             Change::SettleGrant { .. } => false,
         }
     }
 
-    /// Ends changes of programs whose ledgers cannot be read: to write over
-    /// one would give its program a new budget.
-    fn give_up(&mut self, changes: Vec<Pending>) -> Vec<(ChangeId, Outcome)> {
+    /// Ends changes of programs whose ledgers cannot be decoded. Overwriting such a
+    /// ledger would give its program a new budget.
+    fn abandon(&mut self, changes: Vec<PendingChange>) -> Vec<(ChangeId, Outcome)> {
         for pending in &changes {
             self.running.remove(pending.change.attempt());
         }
@@ -425,51 +457,56 @@
         ids.map(|id| (id, Outcome::Unreadable)).collect()
     }
 
-    /// Takes the present ledger of a program from the rows of a conflict; a
-    /// program without a row among them has none. False for a row that is no
-    /// ledger.
-    fn take_present(&mut self, program: &str, rows: &[Row]) -> bool {
+    /// Caches the current ledger of a program from the rows of a conflict. A program
+    /// without a row among them has no ledger. Returns false if the row cannot be
+    /// decoded.
+    fn replace_cached_ledger(&mut self, program: &str, rows: &[Row]) -> bool {
         let id: RowId = ledger_row(program);
         let row = rows.iter().find(|row| row.id == id);
         let Some((row, value)) = row.and_then(|row| Some((row, row.value.as_ref()?))) else {
-            self.known.remove(program);
+            self.cached.remove(program);
             return true;
         };
         let Ok(ledger) = Ledger::decode(value) else {
-            self.known.remove(program);
+            self.cached.remove(program);
             return false;
         };
         let version = row.version;
-        let known = Known { version, ledger };
-        self.known.insert(program.to_owned(), known);
+        let cached = CachedLedger { version, ledger };
+        self.cached.insert(program.to_owned(), cached);
         true
     }
 }
 
-fn apply_to(ledger: &mut Ledger, change: &Change, holder: &ProcessId, fences: &Fences) -> Grant {
+fn apply_change(
+    ledger: &mut Ledger,
+    change: &Change,
+    process: &ProcessId,
+    fences: &Fences,
+) -> ReservationOutcome {
     match change {
         Change::Reserve {
             attempt,
-            most_tokens,
+            max_output_tokens,
             budget_tokens,
-            gone,
+            dead_processes,
             escrow,
         } => {
-            let claim = Claim {
-                holder,
+            let request = ReservationRequest {
+                process,
                 attempt,
-                most_tokens: *most_tokens,
+                max_output_tokens: *max_output_tokens,
                 budget_tokens: *budget_tokens,
                 escrow,
                 fences,
             };
-            ledger.reserve(&claim, gone)
+            ledger.reserve(&request, dead_processes)
         }
         Change::Settle {
             attempt, tokens, ..
         } => {
             ledger.settle(attempt, *tokens);
-            Grant::Reserved
+            ReservationOutcome::Reserved
         }
         Change::SettleGrant {
             attempt,
@@ -477,7 +514,7 @@
             tokens,
         } => {
             ledger.settle_grant(attempt, grant, *tokens);
-            Grant::Reserved
+            ReservationOutcome::Reserved
         }
     }
 }
--- a/coordination/tests/change_support/mod.rs
+++ b/coordination/tests/change_support/mod.rs
@@ -1,6 +1,6 @@
-//! A store for the tests of pending changes, and the changes that they make.
+//! An in-memory store for tests of pending changes, and constructors of changes.
 
-#![allow(dead_code, reason = "each test file uses a part of it")]
+#![allow(dead_code, reason = "each test file uses only some of the items")]
 
 use std::collections::BTreeMap;
 
@@ -11,12 +11,14 @@
 use rosebend_state::deployment::{Row, RowId, RowVersion, Transaction};
 
 pub const PROGRAM: &str = "renewal-1";
+/// Maximum output tokens of each turn.
 pub const MOST: u64 = 280;
 
-/// A store that applies transactions under their conditions.
+/// A store that applies a transaction if its conditions hold.
 #[derive(Default)]
 pub struct Store {
     pub rows: BTreeMap<RowId, (RowVersion, Vec<u8>)>,
+    /// Version of the last transaction that was applied.
     pub version: RowVersion,
 }
 
@@ -27,7 +29,7 @@
             version_of(&condition.row) == condition.version
         };
         if !transaction.conditions.iter().all(holds) {
-            let present = transaction.conditions.iter().filter_map(|condition| {
+            let current = transaction.conditions.iter().filter_map(|condition| {
                 let (version, value) = self.rows.get(&condition.row)?;
                 Some(Row {
                     id: condition.row.clone(),
@@ -35,7 +37,7 @@
                     value: Some(value.clone()),
                 })
             });
-            return Answer::Conflict(present.collect());
+            return Answer::Conflict(current.collect());
         }
         self.version += 1;
         for write in &transaction.writes {
@@ -60,16 +62,20 @@
 }
 
 pub fn reserve(attempt: &str, budget_tokens: u64) -> Change {
-    reserve_with(attempt, budget_tokens, Vec::new())
+    reserve_with_dead_processes(attempt, budget_tokens, Vec::new())
 }
 
-/// Reserves with tokens of hosts that are gone.
-pub fn reserve_with(attempt: &str, budget_tokens: u64, gone: Vec<ProcessId>) -> Change {
+/// Returns a reservation that may write off those of dead processes.
+pub fn reserve_with_dead_processes(
+    attempt: &str,
+    budget_tokens: u64,
+    dead_processes: Vec<ProcessId>,
+) -> Change {
     Change::Reserve {
         attempt: attempt.to_owned(),
-        most_tokens: MOST,
+        max_output_tokens: MOST,
         budget_tokens,
-        gone,
+        dead_processes,
         escrow: EscrowTerms::Excluded,
     }
 }
@@ -82,7 +88,7 @@
     }
 }
 
-/// Sends until nothing waits.
+/// Sends transactions until no change is pending, and returns all outcomes.
 pub fn flush(changes: &mut PendingChanges, store: &mut Store) -> Vec<Outcome> {
     let mut outcomes = Vec::new();
     loop {
@@ -92,7 +98,7 @@
             return outcomes;
         };
         let answer = store.apply(&transaction);
-        let ended = changes.answered(answer);
+        let ended = changes.handle_answer(answer);
         outcomes.extend(ended.into_iter().map(|(_, outcome)| outcome));
     }
 }
--- a/coordination/tests/escrow_world/mod.rs
+++ b/coordination/tests/escrow_world/mod.rs
@@ -412,12 +412,12 @@
         true
     }
 
-    fn reserve(&mut self, host: usize, turn: &Turn, gone: Vec<String>) -> u64 {
+    fn reserve(&mut self, host: usize, turn: &Turn, dead_processes: Vec<String>) -> u64 {
         let change = Change::Reserve {
             attempt: turn.attempt.clone(),
-            most_tokens: MOST,
+            max_output_tokens: MOST,
             budget_tokens: self.budget,
-            gone,
+            dead_processes,
             escrow: turn.escrow.clone(),
         };
         let changes = &mut self.hosts[host].changes;
@@ -514,7 +514,7 @@
             } else {
                 Answer::NotKnown
             };
-            ended.extend(host.changes.answered(seen));
+            ended.extend(host.changes.handle_answer(seen));
         }
         for (id, outcome) in ended {
             self.ended(index, id, outcome);
@@ -557,8 +557,8 @@
         turn.has_recalled = true;
         let (version, ledger) = (self.store.ledger_version(), self.store.ledger());
         let changes = &mut self.hosts[index].changes;
-        changes.learn(PROGRAM, version, ledger);
-        let holdings = changes.holdings(PROGRAM);
+        changes.cache(PROGRAM, version, ledger);
+        let holdings = changes.reservations_by_process(PROGRAM);
         let mut answers = ClosingAnswers::default();
         for slot in Self::slots_of_program() {
             let claim = self.hosts[index].slots.claim_now(&slot);
@@ -572,7 +572,7 @@
         }
         turn.escrow = turn.escrow.with_answers(&answers);
         let runs: Vec<&String> = self.hosts.iter().map(|host| &host.run).collect();
-        let gone = holdings.into_iter().map(|holding| holding.holder);
+        let gone = holdings.into_iter().map(|holding| holding.process);
         let gone = gone.filter(|holder| !runs.contains(&holder)).collect();
         turn.right = Right::Reserving(self.reserve(index, &turn, gone));
         self.hosts[index].turns.insert(position, turn);
--- a/coordination/tests/gateway_budgets.rs
+++ b/coordination/tests/gateway_budgets.rs
@@ -1,132 +1,136 @@
-//! Budgets over any order of events: none is ever overspent, and none keeps a
-//! turn from running that it holds, whatever answers are lost and whoever races
-//! or dies.
+//! Budgets under random sequences of events: concurrent hosts, lost requests, lost
+//! answers, late transactions and crashes. No budget is overspent by more than
+//! write-offs allow, and a turn that fits its budget is granted.
 
 mod change_support;
 
 use std::collections::HashSet;
 
-use change_support::{MOST, PROGRAM, Store, reserve, reserve_with, settle};
+use change_support::{MOST, PROGRAM, Store, reserve, reserve_with_dead_processes, settle};
 use proptest::prelude::*;
 use rosebend_coordination::gateway::pending_changes::{Answer, Outcome, PendingChanges};
 use rosebend_state::deployment::Transaction;
 
-/// What may happen next in a random run.
+/// One event of a random simulation.
 #[derive(Clone, Debug)]
 enum Step {
-    /// A host begins a turn.
-    Begin(usize),
-    /// A host ends its oldest turn after so many tokens.
+    /// A host starts a turn.
+    Start(usize),
+    /// A host ends its oldest granted turn after it delivered this many tokens.
     End(usize, u64),
-    /// A host's transaction goes to the store, and its answer comes back.
+    /// A host sends its transaction to the store and receives the answer.
     Send(usize),
-    /// The same, but the answer is lost.
-    SendAndLose(usize),
-    /// A host's transaction is lost, or refused.
-    Lose(usize),
-    /// A transaction that was thought lost arrives after all.
-    ArriveLate(usize),
-    /// A host's process is replaced.
+    /// A host sends its transaction to the store, and the answer is lost.
+    SendAndLoseAnswer(usize),
+    /// A host sends a transaction that does not reach the store or is refused.
+    LoseRequest(usize),
+    /// A transaction that was lost reaches the store late.
+    DeliverLate(usize),
+    /// The process of a host is replaced by a new one.
     Restart(usize),
 }
 
 fn step() -> impl Strategy<Value = Step> {
     let host = 0_usize..3;
     prop_oneof![
-        4 => host.clone().prop_map(Step::Begin),
+        4 => host.clone().prop_map(Step::Start),
         4 => (host.clone(), 0..=MOST).prop_map(|(host, tokens)| Step::End(host, tokens)),
         6 => host.clone().prop_map(Step::Send),
-        2 => host.clone().prop_map(Step::SendAndLose),
-        1 => host.clone().prop_map(Step::Lose),
-        1 => host.clone().prop_map(Step::ArriveLate),
+        2 => host.clone().prop_map(Step::SendAndLoseAnswer),
+        1 => host.clone().prop_map(Step::LoseRequest),
+        1 => host.clone().prop_map(Step::DeliverLate),
         1 => host.prop_map(Step::Restart),
     ]
 }
 
 struct Host {
-    holder: String,
+    process: String,
     changes: PendingChanges,
-    /// Turns that run: attempt, and the change that reserves until it is durable.
+    /// Running turns, as the attempt and the reservation while it is not durable.
     running: Vec<(String, Option<u64>)>,
-    /// Turns whose budget was asked for again, with what gone hosts held.
-    recalled: HashSet<String>,
-    /// Settlements that are not durable yet.
+    /// Turns whose reservation was rejected once and requested again.
+    retried: HashSet<String>,
+    /// Settlements that are not durable.
     settling: HashSet<u64>,
-    lost: Vec<Transaction>,
+    /// Transactions that did not reach the store.
+    lost_transactions: Vec<Transaction>,
 }
 
 impl Host {
-    fn new(run: usize) -> Self {
-        let holder = format!("host/{run}");
+    fn new(number: usize) -> Self {
+        let process = format!("host/{number}");
         Self {
-            changes: PendingChanges::new(holder.clone()),
-            holder,
+            changes: PendingChanges::new(process.clone()),
+            process,
             running: Vec::new(),
-            recalled: HashSet::new(),
+            retried: HashSet::new(),
             settling: HashSet::new(),
-            lost: Vec::new(),
+            lost_transactions: Vec::new(),
         }
     }
 
-    /// Turns whose tokens nobody can tell any more once this host is gone.
+    /// Returns the number of turns whose delivered tokens are lost if the host crashes.
     fn open_turns(&self) -> usize {
         self.running.len() + self.settling.len()
     }
 }
 
-/// Three hosts of one program's turns. `handed_out` is what callers have seen.
-struct World {
+/// Three hosts that run turns of one program.
+struct Simulation {
     store: Store,
     hosts: Vec<Host>,
-    handed_out: u64,
+    /// Tokens that callers have received.
+    delivered: u64,
+    /// Turns that were started.
     turns: usize,
-    runs: usize,
+    /// Processes that were started.
+    processes: usize,
     budget: u64,
-    /// Turns that were open when their host was replaced.
-    died: usize,
-    /// Whether questions to holders are lost, so that each seems gone.
-    is_silent: bool,
+    /// Turns that were not settled when the process of their host was replaced.
+    unsettled_turns: usize,
+    /// Whether queries to other processes are lost, so that each is presumed dead.
+    are_queries_lost: bool,
 }
 
-impl World {
+impl Simulation {
     fn new(budget: u64) -> Self {
         Self {
             store: Store::default(),
             hosts: (0..3).map(Host::new).collect(),
-            handed_out: 0,
+            delivered: 0,
             turns: 0,
-            runs: 3,
+            processes: 3,
             budget,
-            died: 0,
-            is_silent: false,
+            unsettled_turns: 0,
+            are_queries_lost: false,
         }
     }
 
-    fn play(&mut self, step: Step) {
+    fn apply_step(&mut self, step: Step) {
         match step {
-            Step::Begin(host) => {
-                self.begin(host);
+            Step::Start(host) => {
+                self.start(host);
             }
             Step::End(host, tokens) => self.end(host, tokens),
             Step::Send(host) => self.send(host, true, true),
-            Step::SendAndLose(host) => self.send(host, true, false),
-            Step::Lose(host) => self.send(host, false, false),
-            Step::ArriveLate(host) => {
-                if let Some(late) = self.hosts[host].lost.pop() {
+            Step::SendAndLoseAnswer(host) => self.send(host, true, false),
+            Step::LoseRequest(host) => self.send(host, false, false),
+            Step::DeliverLate(host) => {
+                if let Some(late) = self.hosts[host].lost_transactions.pop() {
                     self.store.apply(&late);
                 }
             }
             Step::Restart(host) => {
-                let lost = std::mem::take(&mut self.hosts[host].lost);
-                self.died += self.hosts[host].open_turns();
-                self.hosts[host] = Host::new(self.runs);
-                self.hosts[host].lost = lost;
-                self.runs += 1;
+                let lost_transactions = std::mem::take(&mut self.hosts[host].lost_transactions);
+                self.unsettled_turns += self.hosts[host].open_turns();
+                self.hosts[host] = Host::new(self.processes);
+                self.hosts[host].lost_transactions = lost_transactions;
+                self.processes += 1;
             }
         }
     }
 
-    fn begin(&mut self, host: usize) -> String {
+    fn start(&mut self, host: usize) -> String {
         self.turns += 1;
         let attempt = format!("t{}", self.turns);
         let host = &mut self.hosts[host];
@@ -136,7 +140,8 @@
         attempt
     }
 
-    /// Tokens are handed out only once the reservation is durable.
+    /// Ends a host's oldest turn whose reservation is durable. Tokens are delivered only
+    /// after that.
     fn end(&mut self, host: usize, tokens: u64) {
         let host = &mut self.hosts[host];
         let granted = host
@@ -147,7 +152,7 @@
             return;
         };
         let (attempt, _) = host.running.remove(index);
-        self.handed_out += tokens;
+        self.delivered += tokens;
         let id = host
             .changes
             .submit(PROGRAM.to_owned(), settle(&attempt, tokens));
@@ -163,10 +168,10 @@
                 false => Answer::NotKnown,
             };
             if !arrives {
-                host.lost.push(transaction);
+                host.lost_transactions.push(transaction);
             }
             let seen = if answered { answer } else { Answer::NotKnown };
-            ended.extend(host.changes.answered(seen));
+            ended.extend(host.changes.handle_answer(seen));
         }
         for (id, outcome) in ended {
             self.ended(index, id, outcome);
@@ -182,38 +187,39 @@
             .position(|(_, reserving)| *reserving == Some(id));
         match (turn, outcome) {
             (Some(turn), Outcome::Durable) => host.running[turn].1 = None,
-            (Some(turn), Outcome::Exhausted) => self.ask_again(index, turn),
+            (Some(turn), Outcome::Exhausted) => self.retry(index, turn),
             (Some(_), Outcome::Unreadable) => panic!("the ledger is always readable"),
             (None, _) => {}
         }
     }
 
-    /// A turn that the budget does not hold asks the holders, once.
-    fn ask_again(&mut self, index: usize, turn: usize) {
+    /// Requests a rejected reservation again, once, after a query of the processes that
+    /// hold reservations.
+    fn retry(&mut self, index: usize, turn: usize) {
         let attempt = self.hosts[index].running[turn].0.clone();
-        if !self.hosts[index].recalled.insert(attempt.clone()) {
+        if !self.hosts[index].retried.insert(attempt.clone()) {
             self.hosts[index].running.remove(turn);
             return;
         }
         let (version, ledger) = (self.store.ledger_version(), self.store.ledger());
-        self.hosts[index].changes.learn(PROGRAM, version, ledger);
-        let mut gone = Vec::new();
-        for holding in self.hosts[index].changes.holdings(PROGRAM) {
-            let is_holder = |host: &&Host| host.holder == holding.holder;
-            let holder = self.hosts.iter().find(is_holder);
-            let is_own = holder.is_some_and(|host| host.recalled.contains(&attempt));
-            let answers = holder.is_some() && (is_own || !self.is_silent);
+        self.hosts[index].changes.cache(PROGRAM, version, ledger);
+        let mut dead_processes = Vec::new();
+        for reservations in self.hosts[index].changes.reservations_by_process(PROGRAM) {
+            let is_process = |host: &&Host| host.process == reservations.process;
+            let owner = self.hosts.iter().find(is_process);
+            let is_own = owner.is_some_and(|host| host.retried.contains(&attempt));
+            let answers = owner.is_some() && (is_own || !self.are_queries_lost);
             if !answers {
-                gone.push(holding.holder);
+                dead_processes.push(reservations.process);
             }
         }
         let host = &mut self.hosts[index];
-        let change = reserve_with(&attempt, self.budget, gone);
+        let change = reserve_with_dead_processes(&attempt, self.budget, dead_processes);
         let id = host.changes.submit(PROGRAM.to_owned(), change);
         host.running[turn].1 = Some(id);
     }
 
-    /// Ends all turns and sends until nothing waits.
+    /// Ends all turns and sends until no change is pending.
     fn settle_all(&mut self) {
         for host in 0..self.hosts.len() {
             self.flush(host);
@@ -230,9 +236,9 @@
         }
     }
 
-    /// Whether one more turn is granted at a host.
-    fn grants(&mut self, host: usize) -> bool {
-        let attempt = self.begin(host);
+    /// Returns whether a host grants one more turn.
+    fn grants_turn(&mut self, host: usize) -> bool {
+        let attempt = self.start(host);
         self.flush(host);
         let running = &self.hosts[host].running;
         running.iter().any(|(running, _)| *running == attempt)
@@ -246,85 +252,85 @@
 proptest! {
     #[test]
     fn no_budget_is_overspent(budget in MOST..6 * MOST, steps in steps()) {
-        let mut world = World::new(budget);
+        let mut simulation = Simulation::new(budget);
         for step in steps {
             if !matches!(step, Step::Restart(_)) {
-                world.play(step);
+                simulation.apply_step(step);
             }
-            prop_assert!(world.handed_out <= budget, "{} of {budget}", world.handed_out);
+            prop_assert!(simulation.delivered <= budget, "{} of {budget}", simulation.delivered);
         }
     }
 
     #[test]
-    fn deaths_and_silence_overspend_one_turn_s_most_at_most(
+    fn crashes_and_lost_queries_overspend_at_most_one_turn(
         budget in MOST..6 * MOST,
-        silences in prop::collection::vec(any::<bool>(), 120),
+        lost_queries in prop::collection::vec(any::<bool>(), 120),
         steps in steps(),
     ) {
-        let mut world = World::new(budget);
-        for (step, is_silent) in steps.into_iter().zip(silences) {
-            world.is_silent = is_silent;
-            world.play(step);
-            let handed_out = world.handed_out;
-            prop_assert!(handed_out <= budget + MOST, "{handed_out} of {budget}");
+        let mut simulation = Simulation::new(budget);
+        for (step, are_queries_lost) in steps.into_iter().zip(lost_queries) {
+            simulation.are_queries_lost = are_queries_lost;
+            simulation.apply_step(step);
+            let delivered = simulation.delivered;
+            prop_assert!(delivered <= budget + MOST, "{delivered} of {budget}");
         }
     }
 
     #[test]
-    fn a_turn_that_the_budget_holds_is_granted_at_any_host(
+    fn a_turn_that_fits_the_budget_is_granted_at_any_host(
         budget in MOST..6 * MOST,
         host in 0_usize..3,
         steps in steps(),
     ) {
-        let mut world = World::new(budget);
+        let mut simulation = Simulation::new(budget);
         for step in steps {
             if !matches!(step, Step::Restart(_)) {
-                world.play(step);
+                simulation.apply_step(step);
             }
         }
-        world.settle_all();
-        let holds = world.handed_out + MOST <= budget;
-        let granted = world.grants(host);
-        prop_assert_eq!(granted, holds, "{} of {}", world.handed_out, budget);
+        simulation.settle_all();
+        let holds = simulation.delivered + MOST <= budget;
+        let granted = simulation.grants_turn(host);
+        prop_assert_eq!(granted, holds, "{} of {}", simulation.delivered, budget);
     }
 
     #[test]
-    fn a_turn_is_granted_whatever_died_beside_it(
+    fn reservations_of_crashed_hosts_do_not_reject_a_turn(
         budget in MOST..8 * MOST,
         host in 0_usize..3,
         steps in steps(),
     ) {
-        let mut world = World::new(budget);
+        let mut simulation = Simulation::new(budget);
         for step in steps {
-            world.play(step);
+            simulation.apply_step(step);
         }
-        world.settle_all();
-        // Of turns that died with their host nobody knows what they spent.
-        let unknown = world.died as u64 * MOST;
-        let holds = world.handed_out + unknown + MOST <= budget;
-        let granted = world.grants(host);
-        prop_assert!(granted || !holds, "{} and {unknown} of {budget}", world.handed_out);
+        simulation.settle_all();
+        // A crashed turn may have spent all of its reservation.
+        let unsettled_tokens = simulation.unsettled_turns as u64 * MOST;
+        let holds = simulation.delivered + unsettled_tokens + MOST <= budget;
+        let granted = simulation.grants_turn(host);
+        prop_assert!(granted || !holds, "{} and {unsettled_tokens} of {budget}", simulation.delivered);
     }
 
     #[test]
-    fn what_was_handed_out_is_counted_once_all_is_sent(
+    fn delivered_tokens_are_counted_exactly_once(
         budget in MOST..100 * MOST,
         steps in prop::collection::vec(step(), 1..80),
     ) {
-        let mut world = World::new(budget);
+        let mut simulation = Simulation::new(budget);
         for step in steps {
             if !matches!(step, Step::Restart(_)) {
-                world.play(step);
+                simulation.apply_step(step);
             }
         }
         for host in 0..3 {
-            while world.hosts[host].changes.open_changes() > 0 {
-                world.send(host, true, true);
+            while simulation.hosts[host].changes.open_changes() > 0 {
+                simulation.send(host, true, true);
             }
         }
-        let running: usize = world.hosts.iter().map(|host| host.running.len()).sum();
-        let account = world.store.ledger().account();
-        prop_assert_eq!(account.spent_tokens, world.handed_out);
+        let running: usize = simulation.hosts.iter().map(|host| host.running.len()).sum();
+        let account = simulation.store.ledger().account();
+        prop_assert_eq!(account.spent_tokens, simulation.delivered);
         prop_assert!(account.reserved_tokens <= running as u64 * MOST);
     }
 }
--- a/coordination/tests/gateway_history.rs
+++ b/coordination/tests/gateway_history.rs
@@ -10,7 +10,7 @@
 use rosebend_coordination::gateway::history::{
     History, HistoryError, StoredProgram, Turn, indexed_program, ledger_row, partition_of,
 };
-use rosebend_coordination::gateway::ledger::{Claim, Ledger};
+use rosebend_coordination::gateway::ledger::{Ledger, ReservationRequest};
 use rosebend_state::deployment::{EndpointIdentity, Row, RowId, RowWrite};
 use serde_json::{Value, json};
 
@@ -198,15 +198,15 @@
 #[test]
 fn a_row_that_is_no_piece_leaves_the_other_turns_and_the_ledger() {
     let mut ledger = Ledger::default();
-    let claim = Claim {
-        holder: &"gateway-1/run".to_owned(),
+    let request = ReservationRequest {
+        process: &"gateway-1/run".to_owned(),
         attempt: &"t0".to_owned(),
-        most_tokens: 5,
+        max_output_tokens: 5,
         budget_tokens: 10,
         fences: &Fences::new(),
         escrow: &EscrowTerms::Excluded,
     };
-    ledger.reserve(&claim, &[]);
+    ledger.reserve(&request, &[]);
     let mut rows = chain_rows(1);
     rows.push(Row {
         id: ledger_row(PROGRAM),
--- a/coordination/tests/gateway_pending_changes.rs
+++ b/coordination/tests/gateway_pending_changes.rs
@@ -1,9 +1,9 @@
-//! Changes of programs on their way to the store: what is written, and what
-//! becomes of the tokens that a host reserved.
+//! Tests of pending changes: the transactions that are built from them, conflicts
+//! and lost answers, and write-offs of reservations.
 
 mod change_support;
 
-use change_support::{MOST, PROGRAM, Store, flush, reserve, reserve_with, settle};
+use change_support::{MOST, PROGRAM, Store, flush, reserve, reserve_with_dead_processes, settle};
 use rosebend_coordination::gateway::escrow::terms::EscrowTerms;
 use rosebend_coordination::gateway::history::ledger_row;
 use rosebend_coordination::gateway::pending_changes::{Answer, Change, Outcome, PendingChanges};
@@ -13,7 +13,7 @@
 const SECOND: &str = "host-2/b";
 
 #[test]
-fn nothing_is_reserved_for_a_turn_that_has_not_come() {
+fn tokens_are_reserved_only_for_turns_that_arrived() {
     let mut store = Store::default();
     let mut changes = PendingChanges::new(FIRST.to_owned());
     changes.submit(PROGRAM.to_owned(), reserve("t1", 2_000));
@@ -22,11 +22,11 @@
     changes.submit(PROGRAM.to_owned(), settle("t1", 70));
     assert_eq!(flush(&mut changes, &mut store), [Outcome::Durable]);
     assert_eq!(store.ledger().committed_tokens(), 70);
-    assert!(store.ledger().holdings().is_empty());
+    assert!(store.ledger().reservations_by_process().is_empty());
 }
 
 #[test]
-fn a_turn_s_settlement_and_the_next_turn_go_in_one_transaction() {
+fn a_settlement_and_the_next_reservation_share_a_transaction() {
     let mut store = Store::default();
     let mut changes = PendingChanges::new(FIRST.to_owned());
     changes.submit(PROGRAM.to_owned(), reserve("t1", 2_000));
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn a_spent_budget_ends_a_reservation_and_writes_nothing() {
+fn a_reservation_beyond_the_budget_writes_nothing() {
     let mut store = Store::default();
     let mut changes = PendingChanges::new(FIRST.to_owned());
     changes.submit(PROGRAM.to_owned(), reserve("t1", MOST));
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn a_change_that_meets_a_newer_ledger_is_applied_to_it() {
+fn a_change_that_conflicts_with_a_newer_ledger_is_applied_to_it() {
     let mut store = Store::default();
     let mut first = PendingChanges::new(FIRST.to_owned());
     let mut second = PendingChanges::new(SECOND.to_owned());
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn a_turn_is_counted_once_whose_settlement_is_sent_twice() {
+fn a_settlement_that_is_sent_twice_is_counted_once() {
     let mut store = Store::default();
     let mut changes = PendingChanges::new(FIRST.to_owned());
     changes.submit(PROGRAM.to_owned(), reserve("t1", 1_000));
@@ -73,33 +73,36 @@
     flush(&mut changes, &mut store);
     changes.submit(PROGRAM.to_owned(), settle("t1", 100));
     changes.submit(PROGRAM.to_owned(), settle("t2", 5));
-    // The transaction takes effect; its answer is lost and it is sent again.
+    // The transaction is applied, but its answer is lost and it is sent again.
     let (transaction, _) = changes.next_transaction();
     store.apply(&transaction.unwrap());
-    changes.answered(Answer::NotKnown);
+    changes.handle_answer(Answer::NotKnown);
     flush(&mut changes, &mut store);
     assert_eq!(store.ledger().account().spent_tokens, 105);
 }
 
-/// A transaction takes effect, and a copy of it tells by its conflict that it did. Returns
-/// how its changes ended.
-fn answer_is_lost(changes: &mut PendingChanges, store: &mut Store) -> Vec<Outcome> {
+/// Applies a transaction whose answer is lost, and then a copy of it, which conflicts.
+/// Returns the outcomes of its changes.
+fn send_and_lose_answer(changes: &mut PendingChanges, store: &mut Store) -> Vec<Outcome> {
     let transaction = changes.next_transaction().0.unwrap();
     store.apply(&transaction);
-    let ended = changes.answered(store.apply(&transaction));
+    let ended = changes.handle_answer(store.apply(&transaction));
     ended.into_iter().map(|(_, outcome)| outcome).collect()
 }
 
 #[test]
-fn a_reservation_and_a_settlement_whose_answers_were_lost_are_not_written_again() {
+fn changes_whose_answers_were_lost_are_not_written_again() {
     let mut store = Store::default();
     let mut changes = PendingChanges::new(FIRST.to_owned());
     changes.submit(PROGRAM.to_owned(), reserve("t1", 1_000));
-    assert_eq!(answer_is_lost(&mut changes, &mut store), [Outcome::Durable]);
+    assert_eq!(
+        send_and_lose_answer(&mut changes, &mut store),
+        [Outcome::Durable]
+    );
     changes.submit(PROGRAM.to_owned(), settle("t1", 70));
     changes.submit(PROGRAM.to_owned(), reserve("t2", 1_000));
     assert_eq!(
-        answer_is_lost(&mut changes, &mut store),
+        send_and_lose_answer(&mut changes, &mut store),
         [Outcome::Durable, Outcome::Durable]
     );
     assert_eq!(changes.next_transaction().0, None);
@@ -107,7 +110,7 @@
 }
 
 #[test]
-fn a_reservation_that_met_another_host_s_write_goes_again() {
+fn a_reservation_that_conflicts_with_another_host_is_retried() {
     let mut store = Store::default();
     let mut first = PendingChanges::new(FIRST.to_owned());
     let mut second = PendingChanges::new(SECOND.to_owned());
@@ -115,14 +118,15 @@
     second.submit(PROGRAM.to_owned(), reserve("t2", 1_000));
     let transaction = first.next_transaction().0.unwrap();
     flush(&mut second, &mut store);
-    assert_eq!(first.answered(store.apply(&transaction)), []);
+    assert_eq!(first.handle_answer(store.apply(&transaction)), []);
     assert_eq!(flush(&mut first, &mut store), [Outcome::Durable]);
     assert_eq!(store.ledger().committed_tokens(), 2 * MOST);
 }
 
-/// The same attempt at another host may have settled it, with other rows.
+/// Guards against lost rows: another host may have settled the same attempt with other
+/// rows, which the ledger does not show.
 #[test]
-fn the_rows_of_an_end_whose_answer_was_lost_are_written_again() {
+fn rows_of_a_settlement_whose_answer_was_lost_are_written_again() {
     let mut store = Store::default();
     let mut changes = PendingChanges::new(FIRST.to_owned());
     changes.submit(PROGRAM.to_owned(), reserve("t1", 1_000));
@@ -137,39 +141,39 @@
         }],
     };
     changes.submit(PROGRAM.to_owned(), end);
-    assert_eq!(answer_is_lost(&mut changes, &mut store), []);
+    assert_eq!(send_and_lose_answer(&mut changes, &mut store), []);
     assert_eq!(flush(&mut changes, &mut store), [Outcome::Durable]);
     assert_eq!(store.rows[&row].1, b"said here");
     assert_eq!(store.ledger().committed_tokens(), 70);
 }
 
-/// Two hosts, the first of which has a turn running beside 70 tokens spent.
-fn running_at_the_first(store: &mut Store, budget_tokens: u64) -> (PendingChanges, PendingChanges) {
+/// Returns two hosts. The first runs a turn of a program that has spent 70 tokens.
+fn start_turn_at_first(store: &mut Store, budget_tokens: u64) -> (PendingChanges, PendingChanges) {
     let mut first = PendingChanges::new(FIRST.to_owned());
     first.submit(PROGRAM.to_owned(), reserve("t1", budget_tokens));
     first.submit(PROGRAM.to_owned(), settle("t1", 70));
     first.submit(PROGRAM.to_owned(), reserve("running", budget_tokens));
     flush(&mut first, store);
     let mut second = PendingChanges::new(SECOND.to_owned());
-    second.learn(PROGRAM, store.version, store.ledger());
+    second.cache(PROGRAM, store.version, store.ledger());
     (first, second)
 }
 
-fn gone() -> Vec<String> {
+fn first_process() -> Vec<String> {
     vec![FIRST.to_owned()]
 }
 
 #[test]
-fn what_a_gone_host_held_is_forgiven_in_part_to_a_smaller_turn() {
+fn a_small_turn_writes_off_part_of_a_reservation() {
     let budget = 70 + 2 * MOST;
     let mut store = Store::default();
-    let (_first, mut second) = running_at_the_first(&mut store, budget);
+    let (_first, mut second) = start_turn_at_first(&mut store, budget);
     second.submit(PROGRAM.to_owned(), reserve("t2", budget));
     let small = Change::Reserve {
         attempt: "t3".to_owned(),
-        most_tokens: MOST / 4,
+        max_output_tokens: MOST / 4,
         budget_tokens: budget,
-        gone: gone(),
+        dead_processes: first_process(),
         escrow: EscrowTerms::Excluded,
     };
     second.submit(PROGRAM.to_owned(), small);
@@ -179,37 +183,49 @@
 }
 
 #[test]
-fn only_what_a_turn_needs_is_taken_from_gone_hosts() {
+fn a_turn_that_fits_writes_off_nothing() {
     let budget = 100 * MOST;
     let mut store = Store::default();
-    let (_first, mut second) = running_at_the_first(&mut store, budget);
-    second.submit(PROGRAM.to_owned(), reserve_with("t2", budget, gone()));
+    let (_first, mut second) = start_turn_at_first(&mut store, budget);
+    second.submit(
+        PROGRAM.to_owned(),
+        reserve_with_dead_processes("t2", budget, first_process()),
+    );
     flush(&mut second, &mut store);
     assert_eq!(store.ledger().committed_tokens(), 70 + 2 * MOST);
 }
 
 #[test]
-fn at_most_one_turn_s_most_of_gone_hosts_is_forgiven() {
+fn write_offs_are_limited_to_one_turn() {
     let budget = 70 + 2 * MOST;
     let mut store = Store::default();
-    let (mut first, mut second) = running_at_the_first(&mut store, budget);
-    // Two turns run at the first host when it goes.
+    let (mut first, mut second) = start_turn_at_first(&mut store, budget);
+    // Two turns run at the first host when it dies.
     first.submit(PROGRAM.to_owned(), reserve("t2", budget));
     flush(&mut first, &mut store);
     drop(first);
-    second.submit(PROGRAM.to_owned(), reserve_with("t3", budget, gone()));
+    second.submit(
+        PROGRAM.to_owned(),
+        reserve_with_dead_processes("t3", budget, first_process()),
+    );
     assert_eq!(flush(&mut second, &mut store), [Outcome::Durable]);
-    second.submit(PROGRAM.to_owned(), reserve_with("t4", budget, gone()));
+    second.submit(
+        PROGRAM.to_owned(),
+        reserve_with_dead_processes("t4", budget, first_process()),
+    );
     assert_eq!(flush(&mut second, &mut store), [Outcome::Exhausted]);
 }
 
 #[test]
-fn a_turn_that_was_forgiven_while_it_ran_is_counted_all_the_same() {
+fn a_turn_that_settles_after_its_write_off_is_counted() {
     let budget = 70 + 2 * MOST;
     let mut store = Store::default();
-    let (mut first, mut second) = running_at_the_first(&mut store, budget);
+    let (mut first, mut second) = start_turn_at_first(&mut store, budget);
     second.submit(PROGRAM.to_owned(), reserve("t3", budget));
-    second.submit(PROGRAM.to_owned(), reserve_with("t4", budget, gone()));
+    second.submit(
+        PROGRAM.to_owned(),
+        reserve_with_dead_processes("t4", budget, first_process()),
+    );
     flush(&mut second, &mut store);
     first.submit(PROGRAM.to_owned(), settle("running", 200));
     flush(&mut first, &mut store);
@@ -217,7 +233,7 @@
 }
 
 #[test]
-fn a_ledger_that_cannot_be_read_is_not_written_over() {
+fn a_ledger_that_cannot_be_decoded_is_not_overwritten() {
     let mut store = Store::default();
     let row = ledger_row(PROGRAM);
     store.version = 7;
@@ -228,10 +244,10 @@
     assert_eq!(store.rows[&row].0, 7);
 }
 
-/// Turns that ended while the store was away, of more programs than one
-/// transaction holds.
+/// Guards against transactions that the store rejects after an outage, in which turns
+/// of more programs ended than fit into one transaction.
 #[test]
-fn a_transaction_has_no_more_entries_than_the_store_takes() {
+fn a_transaction_has_no_more_entries_than_the_store_accepts() {
     let mut changes = PendingChanges::new(FIRST.to_owned());
     for number in 0..60 {
         let rows = ["turn", "index"].map(|table| RowWrite {
@@ -249,7 +265,7 @@
     while let (Some(transaction), _) = changes.next_transaction() {
         let entries = transaction.entries();
         assert!(entries <= 100, "{entries} entries");
-        changes.answered(store.apply(&transaction));
+        changes.handle_answer(store.apply(&transaction));
     }
     assert_eq!(store.rows.len(), 60 * 3);
 }
--- a/gateway/src/commits.rs
+++ b/gateway/src/commits.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use rosebend_coordination::gateway::history::partition_of;
-use rosebend_coordination::gateway::ledger::{Account, Holding, Ledger, ProcessId};
+use rosebend_coordination::gateway::ledger::{Account, Ledger, ProcessId, ProcessReservations};
 use rosebend_coordination::gateway::pending_changes::{
     Answer, Change, ChangeId, Outcome, PendingChanges,
 };
@@ -123,27 +123,27 @@
 
     /// Takes note of a ledger that was read.
     pub fn learn(&self, program: &str, version: RowVersion, ledger: Ledger) {
-        self.with_changes(program, |changes| changes.learn(program, version, ledger));
+        self.with_changes(program, |changes| changes.cache(program, version, ledger));
     }
 
     /// The program's ledger as it was last read or written here, as a row.
     pub fn known_ledger(&self, program: &str) -> Option<Row> {
-        self.with_changes(program, |changes| changes.known_ledger(program))
+        self.with_changes(program, |changes| changes.cached_ledger_row(program))
     }
 
     /// Version of the program's ledger as it was last read or written here.
     pub fn version(&self, program: &str) -> RowVersion {
-        self.with_changes(program, |changes| changes.version(program))
+        self.with_changes(program, |changes| changes.cached_version(program))
     }
 
     /// Forgets a program; its ledger is read again when it is needed.
     pub fn forget(&self, program: &str) {
-        self.with_changes(program, |changes| changes.forget(program));
+        self.with_changes(program, |changes| changes.evict(program));
     }
 
     /// Whether the program's ledger was read or written by this host.
     pub fn knows(&self, program: &str) -> bool {
-        self.with_changes(program, |changes| changes.knows(program))
+        self.with_changes(program, |changes| changes.has_cached_ledger(program))
     }
 
     /// This run of the process.
@@ -152,8 +152,8 @@
     }
 
     /// Who holds tokens of a program, as far as this host knows.
-    pub fn holdings(&self, program: &str) -> Vec<Holding> {
-        self.with_changes(program, |changes| changes.holdings(program))
+    pub fn holdings(&self, program: &str) -> Vec<ProcessReservations> {
+        self.with_changes(program, |changes| changes.reservations_by_process(program))
     }
 
     /// Whether a turn that has tokens runs here.
@@ -164,7 +164,7 @@
     /// Whether the budget seems to hold a turn, as far as this host knows.
     pub fn seems_to_hold(&self, program: &str, most_tokens: u64, budget_tokens: u64) -> bool {
         self.with_changes(program, |changes| {
-            changes.seems_to_hold(program, most_tokens, budget_tokens)
+            changes.is_expected_to_fit(program, most_tokens, budget_tokens)
         })
     }
 
@@ -229,7 +229,7 @@
     fn answered(&self, name: &str, answer: Answer) {
         let mut partitions = self.partitions.borrow_mut();
         if let Some(partition) = partitions.get_mut(name) {
-            let ended = partition.changes.answered(answer);
+            let ended = partition.changes.handle_answer(answer);
             partition.tell(ended);
         }
     }
--- a/gateway/src/metrics.rs
+++ b/gateway/src/metrics.rs
@@ -335,7 +335,7 @@
 
     /// Counts a turn that its program's budget does not hold.
     pub fn count_budget_refusal(&self, filled_by: FilledBy) {
-        let filled_by = filled_by.word();
+        let filled_by = filled_by.as_str();
         self.budget_refusals
             .get_or_create(&FilledLabel { filled_by })
             .inc();
--- a/gateway/src/recall.rs
+++ b/gateway/src/recall.rs
@@ -15,7 +15,7 @@
 use futures_util::future::try_join_all;
 use http::{Method, Request};
 use http_body_util::{BodyExt, Full, Limited};
-use rosebend_coordination::gateway::ledger::{Holding, ProcessId};
+use rosebend_coordination::gateway::ledger::{ProcessId, ProcessReservations};
 use rosebend_state::deployment::{AttemptId, ProgramKey, RowVersion};
 use rosebend_transport::connection::{Connection, ConnectionError};
 use rosebend_transport::event::{Event, EventKind, log_event};
@@ -110,9 +110,9 @@
     };
     let mut words = Vec::new();
     for (holding, found) in holdings.into_iter().zip(found) {
-        words.push(format!("{}:{}", holding.holder, found.word()));
+        words.push(format!("{}:{}", holding.process, found.word()));
         match found {
-            Found::Gone => recalled.gone.push(holding.holder),
+            Found::Gone => recalled.gone.push(holding.process),
             Found::Held { is_settling } => recalled.is_settling |= is_settling,
         }
     }
@@ -124,31 +124,35 @@
     Ok(recalled)
 }
 
-async fn ask(gateway: &Gateway, program: &ProgramKey, holding: &Holding) -> Result<Found, Refusal> {
+async fn ask(
+    gateway: &Gateway,
+    program: &ProgramKey,
+    holding: &ProcessReservations,
+) -> Result<Found, Refusal> {
     let question = Question {
         program: program.clone(),
-        holder: holding.holder.clone(),
+        holder: holding.process.clone(),
         turns: holding.turns.clone(),
     };
-    if holding.holder == *gateway.commits.holder() {
+    if holding.process == *gateway.commits.holder() {
         return Ok(found(holding, &state(gateway, &question)));
     }
-    let Some(address) = address_of(gateway, &holding.holder).await? else {
+    let Some(address) = address_of(gateway, &holding.process).await? else {
         return Ok(Found::Gone);
     };
     let asking = tokio::time::timeout(ANSWER_TIMEOUT, send(address, &question));
     let statement = match asking.await {
         Ok(Ok(statement)) => Some(statement),
         Ok(Err(error)) => {
-            log_event(&unanswered(&holding.holder).error(&error));
+            log_event(&unanswered(&holding.process).error(&error));
             None
         }
         Err(error) => {
-            log_event(&unanswered(&holding.holder).error(&error));
+            log_event(&unanswered(&holding.process).error(&error));
             None
         }
     };
-    let statement = statement.filter(|statement| statement.holder == holding.holder);
+    let statement = statement.filter(|statement| statement.holder == holding.process);
     Ok(statement.map_or(Found::Gone, |statement| found(holding, &statement)))
 }
 
@@ -170,7 +174,7 @@
 }
 
 /// What a statement says of a holding.
-fn found(holding: &Holding, statement: &Statement) -> Found {
+fn found(holding: &ProcessReservations, statement: &Statement) -> Found {
     Found::Held {
         is_settling: holding.turns.len() > statement.running.len(),
     }
--- a/gateway/src/spending.rs
+++ b/gateway/src/spending.rs
@@ -197,12 +197,12 @@
     }
 
     /// Asks for the turn's most, with what it may have of hosts that are gone.
-    fn ask(&mut self, gone: Vec<ProcessId>) {
+    fn ask(&mut self, dead_processes: Vec<ProcessId>) {
         let change = Change::Reserve {
             attempt: self.attempt.clone(),
-            most_tokens: self.most_tokens,
+            max_output_tokens: self.most_tokens,
             budget_tokens: self.budget_tokens,
-            gone,
+            dead_processes,
             escrow: self.escrow.clone(),
         };
         let outcome = self.gateway.commits.submit(self.program.clone(), change);
--- a/gateway/src/spending/full_budget.rs
+++ b/gateway/src/spending/full_budget.rs
@@ -102,7 +102,7 @@
     fn exhausted(&self, call: &Call) -> Refusal {
         let filled_by = self.filled_by();
         self.gateway.metrics.count_budget_refusal(filled_by);
-        self.write_account(call, EventKind::SpendingRefused, filled_by.word());
+        self.write_account(call, EventKind::SpendingRefused, filled_by.as_str());
         Refusal::BudgetSpent
     }
 
@@ -114,7 +114,7 @@
 
     fn write_account(&self, call: &Call, kind: EventKind, reason: &'static str) {
         let account = self.gateway.commits.account(&self.program);
-        let held = account.held.iter();
+        let held = account.reserved_by_process.iter();
         let mut holders: Vec<String> = held
             .map(|(holder, tokens)| format!("{holder}:{tokens}"))
             .collect();
