--- a/coordination/src/gateway/history.rs
+++ b/coordination/src/gateway/history.rs
@@ -1,8 +1,9 @@
-//! Turns that were answered, and the prompts made of them.
+//! Completed turns, their rows in the store, and the prompts built from them.
 //!
-//! A turn is immutable. In memory turns share their predecessors; in the
-//! store each is a row of its own, with an index row by which a turn is found
-//! whose program is not known.
+//! A turn is immutable. In memory, turns share their predecessors. In the store,
+//! each turn is a record of one or more rows next to the ledger of its program. An
+//! index row maps the turn to its program, for lookups of a turn whose program is
+//! unknown.
 
 use std::collections::{BTreeMap, HashMap, HashSet, VecDeque};
 use std::sync::Arc;
@@ -15,50 +16,52 @@
 
 use crate::gateway::ledger::Ledger;
 
-/// Partitions of the store over which programs are spread.
+/// Number of store partitions over which programs are distributed.
 ///
-/// A partition applies about 125 transactions a second, one after another.
-/// Fewer partitions hold up bursts, more of them gather fewer changes: of 6, 12,
-/// 16 and 48 a site with bursts earned 0.01, 0.68, 0.70 and 0.57 of its worth.
-/// The number is part of where rows lie: it cannot change while rows exist.
+/// A partition applies its transactions one at a time, about 125 per second. Too few
+/// partitions delay bursts; too many batch fewer changes into each transaction. With
+/// bursty load, 6, 12, 16 and 48 partitions reached 0.01, 0.68, 0.70 and 0.57 of the
+/// maximum score. The number determines in which partition a row is stored, so it
+/// must not change while rows exist.
 pub const PARTITIONS: u64 = 16;
-/// Table of ledgers and turns.
+/// Table of ledgers and turn records.
 const PROGRAM_TABLE: &str = "programs";
-/// Table that leads from a turn to its program.
+/// Table that maps a turn to its program.
 const INDEX_TABLE: &str = "turns";
-/// Separates a program from its turn in a key; ids do not contain it.
+/// Separator of program, turn and chunk number in a key. Ids do not contain it.
 const SEPARATOR: char = '/';
-/// The character after [`SEPARATOR`], which ends the range of a program.
+/// The character that follows [`SEPARATOR`], which is the end of a program's key range.
 const AFTER_SEPARATOR: char = '0';
-/// Longest id of a program, in bytes: that of callers' headers, and what tells
-/// their customer.
+/// Maximum length of a program key, in bytes: the longest id in a caller's header
+/// and the prefix that identifies its customer.
 const MAX_PROGRAM_BYTES: usize = 97;
 
-/// A turn that was answered whole.
+/// A turn that an endpoint completed.
 #[derive(Debug, Eq, PartialEq)]
 pub struct Turn {
-    /// The attempt that was answered.
+    /// Id of the attempt that produced the turn.
     pub attempt: AttemptId,
-    /// Its program.
+    /// Program that the turn belongs to.
     pub program: ProgramKey,
-    /// The turn that it continued from.
+    /// The turn that this one continues, or none for a first turn.
     pub previous: Option<Arc<Self>>,
-    /// What the caller sent.
+    /// Input of the caller.
     pub input: Vec<u8>,
-    /// What was answered, as later prompts contain it.
+    /// Output of the endpoint, in the form that later prompts contain.
     pub output: Vec<u8>,
-    /// The start of an endpoint that ran it and may still have it in memory. Rows
-    /// of older versions name no start; no start that is known is taken for it.
+    /// Incarnation of the endpoint that ran the turn and may still have it in memory.
+    /// Rows of older versions contain no start time and match no endpoint that reports
+    /// one.
     pub endpoint: EndpointIdentity,
-    /// Tokens of its prompt and its output, which that endpoint may have in
-    /// memory.
+    /// Tokens of the prompt and the output, which that endpoint may have in memory.
     pub tokens: u64,
 }
 
-/// The part of a turn's row before its bytes.
+/// Header of a turn's record, a line of JSON before the input and the output.
 #[derive(Deserialize, Serialize)]
-struct TurnHead {
-    /// Null for a first turn. Left out, it would make a first turn of any.
+struct TurnHeader {
+    /// Null for a first turn. The field is mandatory, since a record that lost it would
+    /// otherwise be read as a first turn.
     #[serde(deserialize_with = "Option::deserialize")]
     previous: Option<AttemptId>,
     endpoint: EndpointIdentity,
@@ -67,24 +70,24 @@
     output_bytes: usize,
 }
 
-/// Why rows do not give a turn.
+/// An error in the rows of a program or a turn.
 #[derive(Clone, Debug, Eq, PartialEq, thiserror::Error)]
 pub enum HistoryError {
-    /// Rows do not have the form that this version writes, or a chain of turns
-    /// comes back to one of its own.
-    #[error("row {0} is no turn")]
+    /// A row does not have the format that this version writes, or a chain of turns
+    /// contains a cycle.
+    #[error("row or turn {0} is malformed")]
     Malformed(String),
-    /// A turn names a predecessor that is not there.
-    #[error("turn {0} is not there")]
+    /// The requested turn, or a predecessor that a turn names, does not exist.
+    #[error("turn {0} is missing")]
     Missing(AttemptId),
 }
 
-/// The partition of a program.
+/// Returns the partition of a program.
 pub fn partition_of(program: &str) -> String {
     partition_name(hash_parts(&[program.as_bytes()]) % PARTITIONS)
 }
 
-/// All partitions.
+/// Returns the names of all partitions.
 pub fn partitions() -> impl Iterator<Item = String> {
     (0..PARTITIONS).map(partition_name)
 }
@@ -93,13 +96,13 @@
     format!("p{number:02}")
 }
 
-/// The row of a program's ledger.
+/// Returns the id of the row that contains a program's ledger.
 pub fn ledger_row(program: &str) -> RowId {
     let key = format!("{program}{SEPARATOR}");
     RowId::new(PROGRAM_TABLE, &partition_of(program), key)
 }
 
-/// Where a program's ledger and turns are.
+/// Returns the range of a program's ledger and turn records.
 pub fn program_range(program: &str) -> RowRange {
     RowRange {
         table: PROGRAM_TABLE.to_owned(),
@@ -109,7 +112,7 @@
     }
 }
 
-/// Where a program's ledger alone is.
+/// Returns the range that contains only a program's ledger.
 pub fn ledger_range(program: &str) -> RowRange {
     RowRange {
         to: Some(format!("{program}{SEPARATOR}\u{1}")),
@@ -117,32 +120,33 @@
     }
 }
 
-/// Where the ledgers of a partition are, among turns.
+/// Returns the range of all ledgers in a partition, which also contains turn records.
 pub fn ledgers_range(partition: &str) -> RowRange {
     RowRange::whole(PROGRAM_TABLE, partition)
 }
 
-/// The program whose ledger a row is; none of any other row.
+/// Returns the program whose ledger a row contains, or none for any other row.
 pub fn program_of_ledger(row: &Row) -> Option<&str> {
     let program = program_of(&row.id)?;
     (program.len() + SEPARATOR.len_utf8() == row.id.key.len()).then_some(program)
 }
 
-/// The program of which a row is the ledger or a part of a turn.
+/// Returns the program whose ledger or turn record a row belongs to.
 pub fn program_of(row: &RowId) -> Option<&str> {
     let (program, _) = row.key.split_once(SEPARATOR)?;
     (row.table == PROGRAM_TABLE).then_some(program)
 }
 
-/// Whether a row is a part of a program's turn.
-pub fn is_of_turn(row: &RowId, program: &str, attempt: &str) -> bool {
+/// Returns whether a row is a chunk of the record of a program's turn.
+pub fn belongs_to_turn(row: &RowId, program: &str, attempt: &str) -> bool {
     let rest = row.key.strip_prefix(program);
     let rest = rest.and_then(|rest| rest.strip_prefix(SEPARATOR));
     let turn = rest.and_then(|rest| rest.split_once(SEPARATOR));
     row.table == PROGRAM_TABLE && turn.is_some_and(|(turn, _)| turn == attempt)
 }
 
-/// Where the index row of a turn is if its program lies in a partition.
+/// Returns the range of the index row of a turn, if its program is in the given
+/// partition.
 pub fn index_range(partition: String, attempt: &str) -> RowRange {
     RowRange {
         table: INDEX_TABLE.to_owned(),
@@ -152,8 +156,8 @@
     }
 }
 
-/// The program that an index row names; none when its value is no id, which
-/// would lead to rows of other programs.
+/// Returns the program that an index row names, or none if the value is not a valid
+/// id. Such a value could address rows of other programs.
 pub fn indexed_program(row: &Row) -> Option<ProgramKey> {
     let program = String::from_utf8(row.value.clone()?).ok()?;
     let is_allowed = |byte: u8| byte.is_ascii_graphic() && byte != SEPARATOR as u8;
@@ -162,13 +166,13 @@
 }
 
 impl Turn {
-    /// Whether an attempt is this turn or one that it continues from.
+    /// Returns this turn and all its predecessors, the newest first.
     pub fn chain(&self) -> impl Iterator<Item = &Self> {
         std::iter::successors(Some(self), |turn| turn.previous.as_deref())
     }
 
-    /// The prompt of a turn that continues from this one with `input`: inputs
-    /// and outputs from the oldest turn on, and then the new input.
+    /// Returns the prompt of a turn that continues this one with `input`: the inputs
+    /// and outputs of all turns from the oldest on, followed by the new input.
     pub fn prompt(&self, input: &[u8]) -> Vec<u8> {
         let mut turns: Vec<&Self> = self.chain().collect();
         turns.reverse();
@@ -186,31 +190,32 @@
         self.input.len() + self.output.len()
     }
 
-    /// The rows that make the turn durable: its record, split where it is
-    /// longer than a row, and its index row.
+    /// Returns the rows that make the turn durable: its record, split into chunks of at
+    /// most `row_bytes`, and its index row.
     ///
     /// # Panics
     ///
-    /// Panics when a head has no JSON form, which none has.
+    /// Panics if the header cannot be encoded as JSON. That cannot happen, since it
+    /// consists of strings and numbers.
     pub fn rows(&self, row_bytes: usize) -> Vec<RowWrite> {
-        let head = TurnHead {
+        let header = TurnHeader {
             previous: self.previous.as_ref().map(|turn| turn.attempt.clone()),
             endpoint: self.endpoint.clone(),
             tokens: self.tokens,
             input_bytes: self.input.len(),
             output_bytes: self.output.len(),
         };
-        let mut record = serde_json::to_vec(&head).expect("strings and numbers have a JSON form");
+        let mut record = serde_json::to_vec(&header).expect("a header is always encodable as JSON");
         record.push(b'\n');
         record.extend_from_slice(&self.input);
         record.extend_from_slice(&self.output);
         let partition = partition_of(&self.program);
-        let pieces = record.chunks(row_bytes.max(1)).enumerate();
-        let piece = |(number, value): (usize, &[u8])| RowWrite {
-            row: RowId::new(PROGRAM_TABLE, &partition, self.piece_key(number)),
+        let numbered_chunks = record.chunks(row_bytes.max(1)).enumerate();
+        let chunk = |(number, value): (usize, &[u8])| RowWrite {
+            row: RowId::new(PROGRAM_TABLE, &partition, self.chunk_key(number)),
             value: value.to_vec(),
         };
-        let mut rows: Vec<RowWrite> = pieces.map(piece).collect();
+        let mut rows: Vec<RowWrite> = numbered_chunks.map(chunk).collect();
         rows.push(RowWrite {
             row: RowId::new(INDEX_TABLE, &partition, self.attempt.clone()),
             value: self.program.clone().into_bytes(),
@@ -218,34 +223,34 @@
         rows
     }
 
-    fn piece_key(&self, number: usize) -> String {
+    fn chunk_key(&self, number: usize) -> String {
         format!(
             "{}{SEPARATOR}{}{SEPARATOR}{}",
             self.program,
             self.attempt,
-            piece_text(number)
+            format_chunk_number(number)
         )
     }
 }
 
 impl Drop for Turn {
-    /// Drops a chain turn by turn: each within the drop of the one after it
-    /// would need a stack as deep as the chain is long.
+    /// Drops the chain of predecessors iteratively. A recursive drop needs a stack frame
+    /// for each turn and overflows the stack on a long chain.
     fn drop(&mut self) {
         let mut next = self.previous.take();
         while let Some(turn) = next {
-            // A turn that others hold stays, and so does all before it.
+            // A turn with other references stays alive, and so do its predecessors.
             next = Arc::into_inner(turn).and_then(|mut turn| turn.previous.take());
         }
     }
 }
 
-/// The pieces of a turn's record, as they were found.
+/// The chunks of a turn's record that were read.
 #[derive(Debug, Default)]
 struct Record {
-    /// Values by the piece's number.
-    pieces: BTreeMap<usize, Vec<u8>>,
-    /// Whether a row stands among them that is no piece, or two are the same.
+    /// Values by chunk number.
+    chunk_values: BTreeMap<usize, Vec<u8>>,
+    /// Whether a row of the record is not a valid chunk, or a chunk occurs twice.
     is_malformed: bool,
 }
 
@@ -255,48 +260,53 @@
             self.is_malformed = true;
             return;
         };
-        let before = self.pieces.insert(number, value.clone());
+        let before = self.chunk_values.insert(number, value.clone());
         self.is_malformed |= before.is_some();
     }
 
-    /// The whole record; none when a piece is missing. The order of the rows
-    /// does not matter.
+    /// Returns the whole record, or none if it is malformed or a chunk before the last
+    /// one is missing. The order of the rows does not matter.
     fn bytes(&self) -> Option<Vec<u8>> {
-        let is_gapless = self.pieces.keys().copied().eq(0..self.pieces.len());
-        let pieces: Vec<&[u8]> = self.pieces.values().map(Vec::as_slice).collect();
-        (is_gapless && !self.is_malformed).then(|| pieces.concat())
+        let is_gapless = self
+            .chunk_values
+            .keys()
+            .copied()
+            .eq(0..self.chunk_values.len());
+        let slices: Vec<&[u8]> = self.chunk_values.values().map(Vec::as_slice).collect();
+        (is_gapless && !self.is_malformed).then(|| slices.concat())
     }
 }
 
-/// The number of a piece, written as this version writes it and not otherwise:
-/// no two texts stand for the same number.
-fn piece_number(text: &str) -> Option<usize> {
+/// Parses a chunk number. Accepts only the format that this version writes, so that no
+/// two texts denote the same number.
+fn chunk_number(text: &str) -> Option<usize> {
     let number = text.parse().ok()?;
-    (piece_text(number) == text).then_some(number)
+    (format_chunk_number(number) == text).then_some(number)
 }
 
-fn piece_text(number: usize) -> String {
+fn format_chunk_number(number: usize) -> String {
     format!("{number:04}")
 }
 
-/// A program as its rows tell it.
+/// The ledger and the turn records of a program, as read from its rows.
 #[derive(Debug, Default)]
 pub struct StoredProgram {
-    /// Version of the ledger's row; zero when there is none.
+    /// Version of the ledger's row, or zero if there is none.
     pub ledger_version: u64,
-    /// The ledger.
+    /// Ledger of the program.
     pub ledger: Ledger,
-    /// Records of turns by attempt.
+    /// Records of turns, by attempt.
     records: HashMap<AttemptId, Record>,
 }
 
 impl StoredProgram {
-    /// Reads the rows of a program's range, in any order. A turn whose rows
-    /// are wrong is there and fails when it is asked for; the others hold.
+    /// Reads the rows of a program's range, in any order. A malformed turn does not fail
+    /// the others: it counts as present, and the error is returned when it is requested.
     ///
     /// # Errors
     ///
-    /// Fails when the ledger cannot be read: what was spent is not known then.
+    /// Returns an error if the ledger cannot be decoded, since the spent tokens are
+    /// unknown then.
     pub fn from_rows(program: &str, rows: &[Row]) -> Result<Self, HistoryError> {
         let mut stored = Self::default();
         for row in rows {
@@ -308,19 +318,19 @@
     fn add(&mut self, program: &str, row: &Row) -> Result<(), HistoryError> {
         let rest = row.id.key.strip_prefix(program);
         let Some(rest) = rest.and_then(|rest| rest.strip_prefix(SEPARATOR)) else {
-            // The row of another program tells nothing of this one.
+            // The row belongs to another program.
             return Ok(());
         };
         if rest.is_empty() {
-            return self.take_ledger(row);
+            return self.decode_ledger(row);
         }
         let (attempt, number) = rest.split_once(SEPARATOR).unwrap_or((rest, ""));
         let record = self.records.entry(attempt.to_owned()).or_default();
-        record.add(piece_number(number), row.value.as_ref());
+        record.add(chunk_number(number), row.value.as_ref());
         Ok(())
     }
 
-    fn take_ledger(&mut self, row: &Row) -> Result<(), HistoryError> {
+    fn decode_ledger(&mut self, row: &Row) -> Result<(), HistoryError> {
         let malformed = || HistoryError::Malformed(row.id.key.clone());
         let value = row.value.as_ref().ok_or_else(malformed)?;
         self.ledger = Ledger::decode(value).map_err(|_| malformed())?;
@@ -328,21 +338,22 @@
         Ok(())
     }
 
-    /// Whether the program has a turn of this attempt.
+    /// Returns whether the program has a turn of this attempt, even if it is malformed.
     pub fn has_turn(&self, attempt: &str) -> bool {
         self.records.contains_key(attempt)
     }
 
-    /// A turn with all that it continues from, as far as this program has it.
+    /// Returns a turn with its chain of predecessors, which ends at the first turn that
+    /// `cache` contains.
     ///
     /// # Errors
     ///
-    /// Fails when a turn is missing or malformed; the error names it.
+    /// Returns an error that names the turn if one of the chain is missing or malformed.
     pub fn turn(
         &self,
         program: &str,
         attempt: &str,
-        cache: &History,
+        cache: &TurnCache,
     ) -> Result<Arc<Turn>, HistoryError> {
         let mut pending = Vec::new();
         let mut seen = HashSet::new();
@@ -356,25 +367,25 @@
                 previous = Some(turn);
                 break;
             }
-            let (head, input, output) = self.record(&attempt)?;
-            next = head.previous.clone();
-            pending.push((attempt, head, input, output));
+            let (header, input, output) = self.record(&attempt)?;
+            next = header.previous.clone();
+            pending.push((attempt, header, input, output));
         }
-        for (attempt, head, input, output) in pending.into_iter().rev() {
+        for (attempt, header, input, output) in pending.into_iter().rev() {
             previous = Some(Arc::new(Turn {
                 attempt,
                 program: program.to_owned(),
                 previous,
                 input,
                 output,
-                endpoint: head.endpoint,
-                tokens: head.tokens,
+                endpoint: header.endpoint,
+                tokens: header.tokens,
             }));
         }
         previous.ok_or_else(|| HistoryError::Missing(attempt.to_owned()))
     }
 
-    fn record(&self, attempt: &str) -> Result<(TurnHead, Vec<u8>, Vec<u8>), HistoryError> {
+    fn record(&self, attempt: &str) -> Result<(TurnHeader, Vec<u8>, Vec<u8>), HistoryError> {
         let missing = || HistoryError::Missing(attempt.to_owned());
         let malformed = || HistoryError::Malformed(attempt.to_owned());
         let record = self.records.get(attempt).ok_or_else(missing)?;
@@ -383,29 +394,29 @@
             .iter()
             .position(|byte| *byte == b'\n')
             .ok_or_else(malformed)?;
-        let head: TurnHead = serde_json::from_slice(&record[..end]).map_err(|_| malformed())?;
+        let header: TurnHeader = serde_json::from_slice(&record[..end]).map_err(|_| malformed())?;
         let bytes = &record[end + 1..];
-        let told_bytes = head.input_bytes.checked_add(head.output_bytes);
-        if told_bytes != Some(bytes.len()) {
+        let declared_bytes = header.input_bytes.checked_add(header.output_bytes);
+        if declared_bytes != Some(bytes.len()) {
             return Err(malformed());
         }
-        let (input, output) = bytes.split_at(head.input_bytes);
+        let (input, output) = bytes.split_at(header.input_bytes);
         let (input, output) = (input.to_vec(), output.to_vec());
-        Ok((head, input, output))
+        Ok((header, input, output))
     }
 }
 
-/// Turns that this host has in memory; the least recently added yield.
+/// A bounded cache of turns. The turns that were inserted first are evicted first.
 #[derive(Debug)]
-pub struct History {
+pub struct TurnCache {
     turns: HashMap<AttemptId, Arc<Turn>>,
     order: VecDeque<AttemptId>,
     bytes: usize,
     max_bytes: usize,
 }
 
-impl History {
-    /// An empty cache of at most `max_bytes` of inputs and outputs.
+impl TurnCache {
+    /// Creates an empty cache for at most `max_bytes` of inputs and outputs.
     pub fn new(max_bytes: usize) -> Self {
         Self {
             turns: HashMap::new(),
@@ -415,12 +426,12 @@
         }
     }
 
-    /// A turn, if it is in memory.
+    /// Returns a turn, if it is cached.
     pub fn get(&self, attempt: &str) -> Option<Arc<Turn>> {
         self.turns.get(attempt).cloned()
     }
 
-    /// Adds a turn that is durable.
+    /// Inserts a durable turn, and evicts others if the cache exceeds its size.
     pub fn insert(&mut self, turn: Arc<Turn>) {
         if self.turns.contains_key(&turn.attempt) {
             return;
--- a/coordination/src/gateway/recent_programs.rs
+++ b/coordination/src/gateway/recent_programs.rs
@@ -1,95 +1,103 @@
-//! Programs that were written lately, with their ledgers and turns.
+//! A cache of recently written programs, with their ledgers and turns.
 //!
-//! A turn that comes to another host than the one before needs its program's history. In
-//! each availability zone one host keeps that of a partition's programs for the others, so
-//! that they need not read the store. All that is kept is durable, and it may be old: a ledger
-//! is written under the version at which it is known, and a turn never changes. What is not
-//! kept is read from the store.
+//! A turn that arrives at another host than its predecessor needs the history of its
+//! program. In each availability zone, one host caches the programs of a partition for the
+//! other hosts, which saves them a read of the store. This host is the keeper of the
+//! partition. Programs that are not cached are read from the store.
+//!
+//! The cache contains only durable rows. They may be outdated, which is harmless: a ledger is
+//! written only if its row still has the version that was read, and turns are immutable.
 
 use std::collections::{BTreeMap, HashMap};
 
 use rosebend_state::deployment::{ProgramKey, Row, RowId};
 
 use crate::gateway::gatherers::{Candidate, ranked_by};
-use crate::gateway::history::{is_of_turn, partition_of, program_of};
+use crate::gateway::history::{belongs_to_turn, partition_of, program_of};
 
-/// Most bytes that are kept: the programs of some seconds at several hundred turns a second.
+/// Maximum size of the cache, in bytes of keys and values. It holds the programs of a few
+/// seconds at several hundred turns per second.
 const MAX_BYTES: usize = 8 << 20;
 
-/// The rows of programs that were written last.
+/// The rows of the programs that were written last.
 #[derive(Debug, Default)]
 pub struct RecentPrograms {
-    programs: HashMap<ProgramKey, Written>,
-    /// Programs by when they were last written; the first yield.
-    order: BTreeMap<u64, ProgramKey>,
-    next_place: u64,
+    programs: HashMap<ProgramKey, CachedProgram>,
+    /// Programs by the sequence number of their last write. The first are evicted first.
+    by_last_write: BTreeMap<u64, ProgramKey>,
+    /// Sequence number of the last write to any program.
+    last_sequence: u64,
+    /// Size of all cached rows.
     bytes: usize,
 }
 
+/// The cached rows of one program.
 #[derive(Debug, Default)]
-struct Written {
+struct CachedProgram {
     rows: BTreeMap<RowId, Row>,
-    place: u64,
+    /// Sequence number of the last write to this program.
+    sequence: u64,
+    /// Size of the rows.
     bytes: usize,
 }
 
 impl RecentPrograms {
-    /// Takes note of rows that are durable.
-    pub fn note(&mut self, rows: Vec<Row>) {
+    /// Adds durable rows, and evicts programs if the cache exceeds its size. A row with an
+    /// older version than the cached one is ignored, and so are rows of other tables.
+    pub fn add(&mut self, rows: Vec<Row>) {
         for row in rows {
             if let Some(program) = program_of(&row.id) {
-                self.note_row(program.to_owned(), row);
+                self.add_row(program.to_owned(), row);
             }
         }
         while self.bytes > MAX_BYTES {
-            let Some((_, oldest)) = self.order.pop_first() else {
+            let Some((_, oldest)) = self.by_last_write.pop_first() else {
                 return;
             };
-            self.forget(&oldest);
+            self.evict(&oldest);
         }
     }
 
-    fn note_row(&mut self, program: ProgramKey, row: Row) {
-        self.next_place += 1;
-        let written = self.programs.entry(program.clone()).or_default();
-        self.order.remove(&written.place);
-        written.place = self.next_place;
-        self.order.insert(self.next_place, program);
-        let is_newer = |known: &Row| known.version <= row.version;
-        if written.rows.get(&row.id).is_none_or(is_newer) {
+    fn add_row(&mut self, program: ProgramKey, row: Row) {
+        self.last_sequence += 1;
+        let cached = self.programs.entry(program.clone()).or_default();
+        self.by_last_write.remove(&cached.sequence);
+        cached.sequence = self.last_sequence;
+        self.by_last_write.insert(self.last_sequence, program);
+        let is_newer = |existing: &Row| existing.version <= row.version;
+        if cached.rows.get(&row.id).is_none_or(is_newer) {
             let added = bytes_of(&row);
-            let removed = written.rows.insert(row.id.clone(), row);
+            let removed = cached.rows.insert(row.id.clone(), row);
             let removed = removed.as_ref().map_or(0, bytes_of);
-            written.bytes = written.bytes + added - removed;
+            cached.bytes = cached.bytes + added - removed;
             self.bytes = self.bytes + added - removed;
         }
     }
 
-    fn forget(&mut self, program: &ProgramKey) {
-        if let Some(written) = self.programs.remove(program) {
-            self.order.remove(&written.place);
-            self.bytes -= written.bytes;
+    fn evict(&mut self, program: &ProgramKey) {
+        if let Some(cached) = self.programs.remove(program) {
+            self.by_last_write.remove(&cached.sequence);
+            self.bytes -= cached.bytes;
         }
     }
 
-    /// Whether a turn of a program is kept.
+    /// Returns whether a row of a program's turn is cached.
     pub fn has_turn(&self, program: &str, attempt: &str) -> bool {
-        let written = self.programs.get(program);
-        let mut rows = written.into_iter().flat_map(|written| written.rows.keys());
-        rows.any(|row| is_of_turn(row, program, attempt))
+        let cached = self.programs.get(program);
+        let mut rows = cached.into_iter().flat_map(|cached| cached.rows.keys());
+        rows.any(|row| belongs_to_turn(row, program, attempt))
     }
 
-    /// The rows of a program, as far as they are kept.
+    /// Returns the cached rows of a program.
     pub fn rows(&self, program: &str) -> Vec<Row> {
-        let written = self.programs.get(program);
-        let rows = written
-            .into_iter()
-            .flat_map(|written| written.rows.values());
+        let cached = self.programs.get(program);
+        let rows = cached.into_iter().flat_map(|cached| cached.rows.values());
         rows.cloned().collect()
     }
 }
 
-/// The host of an availability zone that keeps a program's history for the others.
+/// Returns the keeper of a program among the hosts of an availability zone, or none if there
+/// are no hosts. The programs of one partition have the same keeper.
 pub fn keeper<'a, A>(
     program: &str,
     hosts: impl Iterator<Item = &'a Candidate<A>>,
--- a/coordination/tests/gateway_history.rs
+++ b/coordination/tests/gateway_history.rs
@@ -1,5 +1,5 @@
-//! Rows of programs as anyone may have written them: no value panics or hangs,
-//! and a turn whose rows are wrong is unusable alone.
+//! Tests of the rows of programs, including corrupt ones: no value may cause a panic
+//! or an endless loop, and a malformed turn must not affect others.
 
 use std::sync::Arc;
 
@@ -8,17 +8,17 @@
 use rosebend_coordination::gateway::escrow::Fences;
 use rosebend_coordination::gateway::escrow::terms::EscrowTerms;
 use rosebend_coordination::gateway::history::{
-    History, HistoryError, StoredProgram, Turn, indexed_program, ledger_row, partition_of,
+    HistoryError, StoredProgram, Turn, TurnCache, indexed_program, ledger_row, partition_of,
 };
 use rosebend_coordination::gateway::ledger::{Ledger, ReservationRequest};
 use rosebend_state::deployment::{EndpointIdentity, Row, RowId, RowWrite};
 use serde_json::{Value, json};
 
 const PROGRAM: &str = "p1";
-/// Small, so that records are split over several rows.
+/// Row size that is small enough to split records into several rows.
 const ROW_BYTES: usize = 48;
-/// Turns of a chain whose end, if it took one step of the stack a turn, would
-/// be beyond the stack of a thread.
+/// Number of turns in a chain whose recursive drop would overflow the stack of a
+/// thread.
 const LONG_CHAIN: usize = 300_000;
 
 fn turn(attempt: &str, previous: Option<Arc<Turn>>) -> Arc<Turn> {
@@ -41,22 +41,22 @@
     }
 }
 
-/// The rows of a chain of turns `t0`, `t1` and so on, in the order of keys.
+/// Returns the rows of a chain of turns `t0`, `t1` and so on, in key order.
 fn chain_rows(turns: usize) -> Vec<Row> {
     let mut rows = Vec::new();
     let mut previous = None;
     for number in 0..turns {
         let turn = turn(&format!("t{number}"), previous);
         let writes = turn.rows(ROW_BYTES).into_iter();
-        let pieces = writes.filter(|write| write.row.table == ledger_row(PROGRAM).table);
-        rows.extend(pieces.map(stored));
+        let chunks = writes.filter(|write| write.row.table == ledger_row(PROGRAM).table);
+        rows.extend(chunks.map(stored));
         previous = Some(turn);
     }
     rows.sort_by(|a, b| a.id.cmp(&b.id));
     rows
 }
 
-fn piece(attempt: &str, number: &str, value: &[u8]) -> Row {
+fn chunk(attempt: &str, number: &str, value: &[u8]) -> Row {
     Row {
         id: RowId::new(
             &ledger_row(PROGRAM).table,
@@ -68,15 +68,15 @@
     }
 }
 
-/// A record's only piece, with a head of any kind.
-fn record(attempt: &str, head: &Value, bytes: &[u8]) -> Row {
-    let mut value = serde_json::to_vec(head).unwrap();
+/// Returns the only chunk of a record with the given header.
+fn record(attempt: &str, header: &Value, bytes: &[u8]) -> Row {
+    let mut value = serde_json::to_vec(header).unwrap();
     value.push(b'\n');
     value.extend_from_slice(bytes);
-    piece(attempt, "0000", &value)
+    chunk(attempt, "0000", &value)
 }
 
-fn head(previous: Option<&str>, input_bytes: u64, output_bytes: u64) -> Value {
+fn header(previous: Option<&str>, input_bytes: u64, output_bytes: u64) -> Value {
     json!({
         "previous": previous, "endpoint": "i-1", "tokens": 7,
         "input_bytes": input_bytes, "output_bytes": output_bytes,
@@ -85,7 +85,7 @@
 
 fn read(rows: &[Row], attempt: &str) -> Result<Arc<Turn>, HistoryError> {
     let stored = StoredProgram::from_rows(PROGRAM, rows)?;
-    stored.turn(PROGRAM, attempt, &History::new(1 << 20))
+    stored.turn(PROGRAM, attempt, &TurnCache::new(1 << 20))
 }
 
 fn malformed(attempt: &str) -> Result<Arc<Turn>, HistoryError> {
@@ -93,46 +93,46 @@
 }
 
 #[test]
-fn a_chain_is_read_as_it_was_written() {
+fn a_chain_round_trips_through_its_rows() {
     let read = read(&chain_rows(3), "t2").unwrap();
     let attempts: Vec<&str> = read.chain().map(|turn| turn.attempt.as_str()).collect();
     assert_eq!(attempts, ["t2", "t1", "t0"]);
 }
 
 #[test]
-fn lengths_that_overflow_together_make_the_turn_unusable() {
-    let rows = [record("t0", &head(None, u64::MAX, 3), b"ab")];
+fn lengths_whose_sum_overflows_are_malformed() {
+    let rows = [record("t0", &header(None, u64::MAX, 3), b"ab")];
     assert_eq!(read(&rows, "t0"), malformed("t0"));
 }
 
 #[test]
-fn a_head_that_tells_no_predecessor_is_not_that_of_a_first_turn() {
-    let mut head = head(None, 1, 1);
-    assert!(read(&[record("t0", &head, b"ab")], "t0").is_ok());
-    head.as_object_mut().unwrap().remove("previous");
-    assert_eq!(read(&[record("t0", &head, b"ab")], "t0"), malformed("t0"));
+fn a_header_without_a_predecessor_field_is_malformed() {
+    let mut header = header(None, 1, 1);
+    assert!(read(&[record("t0", &header, b"ab")], "t0").is_ok());
+    header.as_object_mut().unwrap().remove("previous");
+    assert_eq!(read(&[record("t0", &header, b"ab")], "t0"), malformed("t0"));
 }
 
 #[test]
-fn a_turn_that_names_itself_ends_the_reading() {
-    let rows = [record("t0", &head(Some("t0"), 1, 1), b"ab")];
+fn a_turn_that_names_itself_is_malformed() {
+    let rows = [record("t0", &header(Some("t0"), 1, 1), b"ab")];
     assert_eq!(read(&rows, "t0"), malformed("t0"));
 }
 
 #[test]
-fn a_chain_that_loops_ends_the_reading() {
+fn a_chain_with_a_cycle_is_malformed() {
     let rows = [
-        record("t0", &head(Some("t2"), 1, 1), b"ab"),
-        record("t1", &head(Some("t0"), 1, 1), b"cd"),
-        record("t2", &head(Some("t1"), 1, 1), b"ef"),
-        record("t3", &head(Some("t2"), 1, 1), b"gh"),
+        record("t0", &header(Some("t2"), 1, 1), b"ab"),
+        record("t1", &header(Some("t0"), 1, 1), b"cd"),
+        record("t2", &header(Some("t1"), 1, 1), b"ef"),
+        record("t3", &header(Some("t2"), 1, 1), b"gh"),
     ];
     assert_eq!(read(&rows, "t2"), malformed("t2"));
     assert_eq!(read(&rows, "t3"), malformed("t2"));
 }
 
 #[test]
-fn a_long_chain_is_dropped_within_the_stack() {
+fn a_long_chain_is_dropped_without_stack_overflow() {
     let mut last = None;
     for _ in 0..LONG_CHAIN {
         last = Some(turn("t", last));
@@ -141,7 +141,7 @@
 }
 
 #[test]
-fn pieces_in_another_order_give_the_same_turn() {
+fn the_order_of_chunks_does_not_matter() {
     let mut rows = chain_rows(2);
     let expected = read(&rows, "t1");
     assert!(expected.is_ok());
@@ -150,36 +150,36 @@
 }
 
 #[test]
-fn a_piece_that_is_missing_or_too_much_makes_its_turn_unusable_alone() {
+fn a_missing_or_extra_chunk_affects_only_its_turn() {
     let rows = chain_rows(2);
-    let pieces = |attempt: &str| {
-        let begin = format!("{PROGRAM}/{attempt}/");
+    let chunks = |attempt: &str| {
+        let prefix = format!("{PROGRAM}/{attempt}/");
         rows.iter()
-            .filter(move |row| row.id.key.starts_with(&begin))
+            .filter(move |row| row.id.key.starts_with(&prefix))
             .count()
     };
-    assert!(pieces("t1") > 2);
-    for missing in 0..pieces("t1") {
+    assert!(chunks("t1") > 2);
+    for missing in 0..chunks("t1") {
         let key = format!("{PROGRAM}/t1/{missing:04}");
         let mut rest = rows.clone();
         rest.retain(|row| row.id.key != key);
         assert_eq!(
             read(&rest, "t1"),
             malformed("t1"),
-            "without piece {missing}"
+            "without chunk {missing}"
         );
         assert!(read(&rest, "t0").is_ok());
     }
     for number in ["9999", "+1", "00001", "x", ""] {
         let mut more = rows.clone();
-        more.push(piece("t1", number, b""));
-        assert_eq!(read(&more, "t1"), malformed("t1"), "with piece {number:?}");
+        more.push(chunk("t1", number, b""));
+        assert_eq!(read(&more, "t1"), malformed("t1"), "with chunk {number:?}");
         assert!(read(&more, "t0").is_ok());
     }
 }
 
 #[test]
-fn a_record_of_more_pieces_than_four_digits_count_is_read() {
+fn a_record_of_more_than_ten_thousand_chunks_is_read() {
     let long = Arc::new(Turn {
         attempt: "t0".to_owned(),
         program: PROGRAM.to_owned(),
@@ -196,7 +196,7 @@
 }
 
 #[test]
-fn a_row_that_is_no_piece_leaves_the_other_turns_and_the_ledger() {
+fn an_invalid_chunk_does_not_affect_other_turns_or_the_ledger() {
     let mut ledger = Ledger::default();
     let request = ReservationRequest {
         process: &"gateway-1/run".to_owned(),
@@ -213,25 +213,25 @@
         version: 9,
         value: Some(ledger.encode()),
     });
-    let mut foreign = piece("t5", "0000", b"");
-    foreign.id.key = format!("{PROGRAM}/t5");
-    rows.push(foreign);
-    let mut gone = piece("t6", "0000", b"");
-    gone.value = None;
-    rows.push(gone);
+    let mut no_number = chunk("t5", "0000", b"");
+    no_number.id.key = format!("{PROGRAM}/t5");
+    rows.push(no_number);
+    let mut no_value = chunk("t6", "0000", b"");
+    no_value.value = None;
+    rows.push(no_value);
     let stored = StoredProgram::from_rows(PROGRAM, &rows).unwrap();
     assert_eq!((stored.ledger_version, &stored.ledger), (9, &ledger));
-    let cache = History::new(1 << 20);
+    let cache = TurnCache::new(1 << 20);
     assert!(stored.turn(PROGRAM, "t0", &cache).is_ok());
     for attempt in ["t5", "t6"] {
-        // It cannot be denied that the turn exists.
+        // The turn exists, although it cannot be read.
         assert!(stored.has_turn(attempt), "{attempt}");
         assert_eq!(stored.turn(PROGRAM, attempt, &cache), malformed(attempt));
     }
 }
 
 #[test]
-fn a_ledger_that_cannot_be_read_is_no_empty_one() {
+fn a_ledger_that_cannot_be_decoded_is_an_error() {
     for value in [
         "",
         "{}",
@@ -249,34 +249,34 @@
     }
 }
 
-/// An earlier version held tokens in a field of their own, which do not count as
-/// nothing.
+/// Guards against a ledger of an earlier version, which has reserved tokens in another
+/// field. Ignoring that field would lose them.
 #[test]
-fn a_ledger_with_fields_of_another_version_is_refused() {
+fn a_ledger_with_unknown_fields_is_rejected() {
     let ahead = json!({"h": {"tokens": 3, "drawn_after": "t0"}});
     let ledger = json!({"spent_tokens": 1, "ahead": ahead});
     assert!(Ledger::decode(ledger.to_string().as_bytes()).is_err());
 }
 
-/// Whoever wrote such a ledger, its program must not be taken for one that has
+/// Guards against sums that wrap around, which would make the program appear to have
 /// spent little.
 #[test]
-fn a_ledger_whose_sums_no_type_holds_is_refused_or_full() {
-    let most = u64::MAX;
+fn a_ledger_whose_sums_overflow_is_rejected_or_exhausted() {
+    let max = u64::MAX;
     let turn = |tokens: u64| json!({"tokens": tokens, "holder": "h"});
     let ledgers = [
-        json!({"spent_tokens": most, "reserved": {"t0": turn(most)}}),
-        json!({"spent_tokens": 0, "reserved": {"t0": turn(most), "t1": turn(most)}}),
+        json!({"spent_tokens": max, "reserved": {"t0": turn(max)}}),
+        json!({"spent_tokens": 0, "reserved": {"t0": turn(max), "t1": turn(max)}}),
     ];
     for ledger in ledgers {
         let decoded = Ledger::decode(ledger.to_string().as_bytes());
-        let committed = decoded.map_or(most, |ledger| ledger.committed_tokens());
-        assert_eq!(committed, most, "{ledger}");
+        let committed = decoded.map_or(max, |ledger| ledger.committed_tokens());
+        assert_eq!(committed, max, "{ledger}");
     }
 }
 
 #[test]
-fn an_index_row_names_a_program_only_by_an_id() {
+fn an_index_row_with_an_invalid_id_is_rejected() {
     let index = |value: &[u8]| {
         indexed_program(&Row {
             id: RowId::new("turns", "p00", "t0"),
@@ -286,14 +286,14 @@
     };
     assert_eq!(index(b"p1"), Some(PROGRAM.to_owned()));
     let long = [b'p'; 4_096];
-    let foreign: [&[u8]; 6] = [b"", b"p1/t0", b"p\n1", b"p 1", b"\xff\xfe", &long];
-    for value in foreign {
+    let invalid: [&[u8]; 6] = [b"", b"p1/t0", b"p\n1", b"p 1", b"\xff\xfe", &long];
+    for value in invalid {
         assert_eq!(index(value), None, "{value:?}");
     }
 }
 
-/// Something that another writer may have put in place of a field of a head.
-fn odd_value() -> impl Strategy<Value = Value> {
+/// A JSON value that a faulty writer may have stored in a field.
+fn arbitrary_value() -> impl Strategy<Value = Value> {
     prop_oneof![
         Just(Value::Null),
         any::<bool>().prop_map(Value::from),
@@ -312,16 +312,16 @@
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::with_cases(512) })]
 
     #[test]
-    fn arbitrary_rows_are_read_to_an_end(
+    fn arbitrary_rows_neither_panic_nor_hang(
         rows in proptest::collection::vec(
             ("(p1|p2|)(/|)(t[0-4]|)(/|)(000[0-3]|[0-9]{0,30}|)", proptest::option::of(any::<Vec<u8>>())),
             0..24,
         ),
-        asked in "t[0-4]|",
+        requested in "t[0-4]|",
     ) {
         let row = |(key, value)| Row { id: RowId::new("programs", "p00", key), version: 1, value };
         let rows: Vec<Row> = rows.into_iter().map(row).collect();
-        let _ = read(&rows, &asked);
+        let _ = read(&rows, &requested);
         for row in &rows {
             let _ = indexed_program(row);
             let _ = Ledger::decode(row.value.as_deref().unwrap_or_default());
@@ -329,15 +329,15 @@
     }
 
     #[test]
-    fn heads_with_other_fields_are_read_to_an_end(
+    fn headers_with_arbitrary_fields_neither_panic_nor_hang(
         changes in proptest::collection::vec(
-            (select(vec!["previous", "endpoint", "tokens", "input_bytes", "output_bytes"]), proptest::option::of(odd_value())),
+            (select(vec!["previous", "endpoint", "tokens", "input_bytes", "output_bytes"]), proptest::option::of(arbitrary_value())),
             1..4,
         ),
         bytes in any::<Vec<u8>>(),
     ) {
         let half = (bytes.len() / 2) as u64;
-        let mut changed = head(None, half, bytes.len() as u64 - half);
+        let mut changed = header(None, half, bytes.len() as u64 - half);
         let fields = changed.as_object_mut().unwrap();
         for (field, value) in changes {
             match value {
@@ -352,7 +352,7 @@
     }
 
     #[test]
-    fn a_changed_byte_or_a_lost_row_never_gives_a_turn_of_other_length(
+    fn a_corrupt_byte_or_a_lost_row_never_makes_a_turn_longer(
         at in any::<Index>(),
         byte in any::<Option<(Index, u8)>>(),
     ) {
@@ -368,17 +368,17 @@
         }
         if let Ok(turn) = read(&rows, "t2") {
             let bytes = |turn: &Turn| turn.prompt(b"").len();
-            // A head's `previous` may have become null or another turn's.
+            // The change may have made `previous` null or the id of another turn.
             let expected = read(&chain_rows(3), "t2").unwrap();
             prop_assert!(bytes(&turn) <= bytes(&expected));
         }
     }
 
     #[test]
-    fn ledgers_are_decoded_or_refused(
+    fn arbitrary_ledgers_neither_panic_nor_hang(
         value in any::<Vec<u8>>(),
         place in select(vec!["/spent_tokens", "/reserved", "/reserved/t0", "/reserved/t0/tokens", "/reserved/t0/holder", "/forgiven_tokens"]),
-        odd in odd_value(),
+        replacement in arbitrary_value(),
     ) {
         let _ = Ledger::decode(&value);
         let mut ledger = json!({
@@ -387,7 +387,7 @@
         });
         let committed = Ledger::decode(ledger.to_string().as_bytes()).map(|ledger| ledger.committed_tokens());
         prop_assert_eq!(committed.ok(), Some(3));
-        *ledger.pointer_mut(place).unwrap() = odd;
+        *ledger.pointer_mut(place).unwrap() = replacement;
         let _ = Ledger::decode(ledger.to_string().as_bytes());
     }
 }
--- a/coordination/tests/gateway_recent_programs.rs
+++ b/coordination/tests/gateway_recent_programs.rs
@@ -1,4 +1,4 @@
-//! What a host keeps of the programs that others of its availability zone have written.
+//! Tests of the cache of recently written programs, and of the choice of its keeper.
 
 use proptest::prelude::*;
 use rosebend_coordination::gateway::gatherers::Candidate;
@@ -6,7 +6,7 @@
 use rosebend_coordination::gateway::recent_programs::{RecentPrograms, keeper};
 use rosebend_state::deployment::{Row, RowId};
 
-/// A program's ledger at a version, and a turn's row.
+/// Returns a program's ledger at a version, and one row of a turn.
 fn turn(program: &str, version: u64, bytes: usize) -> Vec<Row> {
     let ledger = ledger_row(program);
     let key = format!("{program}/t{version}/0000");
@@ -23,12 +23,12 @@
 }
 
 #[test]
-fn a_program_keeps_its_turns_and_the_newest_ledger() {
+fn all_turns_and_the_newest_ledger_are_cached() {
     let mut recent = RecentPrograms::default();
-    recent.note(turn("a", 5, 10));
-    recent.note(turn("a", 6, 10));
-    // One that was late tells nothing newer.
-    recent.note(turn("a", 4, 10));
+    recent.add(turn("a", 5, 10));
+    recent.add(turn("a", 6, 10));
+    // Rows that arrive late have an older version.
+    recent.add(turn("a", 4, 10));
     let rows = recent.rows("a");
     assert_eq!(rows.len(), 4);
     let ledger = rows.iter().find(|row| row.id == ledger_row("a")).unwrap();
@@ -42,33 +42,33 @@
 }
 
 #[test]
-fn rows_of_other_tables_are_not_kept() {
+fn rows_of_other_tables_are_not_cached() {
     let mut recent = RecentPrograms::default();
     let row = Row {
         id: RowId::new("turns", "p00", "a/t1/0000".to_owned()),
         version: 1,
         value: Some(Vec::new()),
     };
-    recent.note(vec![row]);
+    recent.add(vec![row]);
     assert_eq!(recent.rows("a"), []);
 }
 
 #[test]
-fn the_programs_that_were_written_first_yield() {
+fn programs_are_evicted_in_order_of_their_last_write() {
     let mut recent = RecentPrograms::default();
     for number in 1..=200 {
-        recent.note(turn(&format!("p{number}"), number, 100_000));
-        // This one goes on.
-        recent.note(turn("lasting", number, 10));
+        recent.add(turn(&format!("p{number}"), number, 100_000));
+        // This program is written after each of the others.
+        recent.add(turn("lasting", number, 10));
     }
     assert_eq!(recent.rows("p1"), []);
     assert_eq!(recent.rows("p200").len(), 2);
     assert_eq!(recent.rows("lasting").len(), 201);
 }
 
-/// The hosts of an availability zone choose the same keeper, and share the work.
+/// Each host must choose the same keeper for a program, and the keepers must share the load.
 #[test]
-fn programs_are_spread_over_the_hosts_of_a_zone() {
+fn partitions_are_distributed_over_the_hosts_of_a_zone() {
     let hosts: Vec<Candidate<usize>> = (0..125)
         .map(|number| Candidate {
             host: format!("host-{number}"),
@@ -82,7 +82,7 @@
     let mut keepers: Vec<usize> = keepers.collect();
     keepers.sort_unstable();
     keepers.dedup();
-    // A host meets no more keepers than there are partitions.
+    // All programs of a partition have one keeper, so there are at most 16.
     assert!(
         (12..=16).contains(&keepers.len()),
         "{} keepers",
@@ -94,13 +94,13 @@
 
 proptest! {
     #[test]
-    fn what_is_kept_is_bounded(turns in prop::collection::vec((0..40_u64, 0..900_000_usize), 1..60)) {
+    fn the_cache_size_is_bounded(turns in prop::collection::vec((0..40_u64, 0..900_000_usize), 1..60)) {
         let mut recent = RecentPrograms::default();
         for (version, (program, bytes)) in turns.into_iter().enumerate() {
-            recent.note(turn(&format!("p{program}"), version as u64 + 1, bytes));
+            recent.add(turn(&format!("p{program}"), version as u64 + 1, bytes));
             let rows = (0..40).flat_map(|program| recent.rows(&format!("p{program}")));
-            let kept: usize = rows.filter_map(|row| Some(row.value?.len())).sum();
-            prop_assert!(kept <= 8 << 20, "{kept} bytes");
+            let cached: usize = rows.filter_map(|row| Some(row.value?.len())).sum();
+            prop_assert!(cached <= 8 << 20, "{cached} bytes");
         }
     }
 }
--- a/coordination/tests/gateway_starts.rs
+++ b/coordination/tests/gateway_starts.rs
@@ -320,7 +320,7 @@
         value: Some(edit(write.value)),
     });
     let stored = StoredProgram::from_rows("p1", &rows.collect::<Vec<_>>()).unwrap();
-    let cache = rosebend_coordination::gateway::history::History::new(0);
+    let cache = rosebend_coordination::gateway::history::TurnCache::new(0);
     let read = stored.turn("p1", "t1", &cache).unwrap();
     read.endpoint.clone()
 }
--- a/gateway/src/gateway.rs
+++ b/gateway/src/gateway.rs
@@ -8,7 +8,7 @@
 use rosebend_coordination::gateway::admission::Admission;
 use rosebend_coordination::gateway::directory::Directory;
 use rosebend_coordination::gateway::fingerprint::CrashCounts;
-use rosebend_coordination::gateway::history::{History, partition_of};
+use rosebend_coordination::gateway::history::{TurnCache, partition_of};
 use rosebend_coordination::gateway::identity::Confirmation;
 use rosebend_coordination::gateway::limits::Tolerance;
 use rosebend_coordination::gateway::refusals::Refusals;
@@ -70,7 +70,7 @@
     /// Idle connections to endpoints.
     pub pool: RefCell<Pool>,
     /// Turns in memory.
-    pub history: RefCell<History>,
+    pub history: RefCell<TurnCache>,
     /// History of programs that is kept for other hosts.
     pub recent_history: RecentHistory,
     /// Customers' limits.
@@ -123,7 +123,7 @@
             admission: RefCell::default(),
             refusals: RefCell::default(),
             pool: RefCell::default(),
-            history: RefCell::new(History::new(HISTORY_BYTES)),
+            history: RefCell::new(TurnCache::new(HISTORY_BYTES)),
             recent_history: RecentHistory::new(run.clone()),
             limits: Limits::new(run.clone(), tolerance(&settings.customers)),
             escrow: Escrow::new(run.clone()),
--- a/gateway/src/recent_history.rs
+++ b/gateway/src/recent_history.rs
@@ -219,7 +219,7 @@
     /// Keeps rows. Returns whether the turn is there from which they go on.
     fn take(&self, request: KeepRequest) -> bool {
         let mut programs = self.programs.borrow_mut();
-        programs.note(request.rows);
+        programs.add(request.rows);
         request.previous.is_empty() || programs.has_turn(&request.program, &request.previous)
     }
 }
