--- a/coordination/tests/change_support/mod.rs
+++ b/coordination/tests/change_support/mod.rs
@@ -12,7 +12,7 @@
 
 pub const PROGRAM: &str = "renewal-1";
 /// Maximum output tokens of each turn.
-pub const MOST: u64 = 280;
+pub const MAX_OUTPUT_TOKENS: u64 = 280;
 
 /// A store that applies a transaction if its conditions hold.
 #[derive(Default)]
@@ -73,7 +73,7 @@
 ) -> Change {
     Change::Reserve {
         attempt: attempt.to_owned(),
-        max_output_tokens: MOST,
+        max_output_tokens: MAX_OUTPUT_TOKENS,
         budget_tokens,
         dead_processes,
         escrow: EscrowTerms::Excluded,
--- a/coordination/tests/escrow_world/mod.rs
+++ b/coordination/tests/escrow_world/mod.rs
@@ -16,7 +16,7 @@
 use rosebend_coordination::gateway::pending_changes::{Answer, Change, Outcome, PendingChanges};
 use rosebend_state::deployment::{Condition, RowId, RowWrite, Transaction};
 
-use crate::change_support::{MOST, PROGRAM, Store, settle};
+use crate::change_support::{MAX_OUTPUT_TOKENS, PROGRAM, Store, settle};
 
 /// Table of the slots' rows.
 const TABLE: &str = "gateways";
@@ -392,7 +392,7 @@
     pub fn begin(&mut self, host: usize) -> bool {
         self.turns += 1;
         let attempt = format!("t{}", self.turns);
-        let escrow = EscrowTerms::new(true, MOST, self.budget);
+        let escrow = EscrowTerms::new(true, MAX_OUTPUT_TOKENS, self.budget);
         let mut turn = Turn {
             attempt,
             right: Right::Reserved,
@@ -415,7 +415,7 @@
     fn reserve(&mut self, host: usize, turn: &Turn, dead_processes: Vec<String>) -> u64 {
         let change = Change::Reserve {
             attempt: turn.attempt.clone(),
-            max_output_tokens: MOST,
+            max_output_tokens: MAX_OUTPUT_TOKENS,
             budget_tokens: self.budget,
             dead_processes,
             escrow: turn.escrow.clone(),
@@ -428,14 +428,14 @@
         let request = GrantRequest {
             grant: grant.to_owned(),
             tokens,
-            most_tokens: MOST,
+            most_tokens: MAX_OUTPUT_TOKENS,
             budget_tokens: self.budget,
         };
         Ask::Program(PROGRAM.to_owned(), ProgramAsk::Grant(request))
     }
 
     fn grant(&mut self, host: usize, attempt: &str) -> Option<Right> {
-        let tokens = first_grant_tokens(MOST);
+        let tokens = first_grant_tokens(MAX_OUTPUT_TOKENS);
         for slot in Self::slots_of_program() {
             let grant = format!("g-{attempt}-{}", slot.index);
             let request = self.request(&grant, tokens);
@@ -452,7 +452,7 @@
             return false;
         };
         let wanted = turn.tokens + tokens;
-        if wanted > MOST {
+        if wanted > MAX_OUTPUT_TOKENS {
             return false;
         }
         let right = match turn.right {
@@ -591,7 +591,7 @@
             return false;
         }
         self.flush(host);
-        let tokens = MOST / 4;
+        let tokens = MAX_OUTPUT_TOKENS / 4;
         let is_served = self.hand_out(host, tokens);
         self.end(host);
         self.flush(host);
@@ -606,7 +606,7 @@
                 return;
             }
             self.flush(host);
-            while self.hand_out(host, MOST / 4) {}
+            while self.hand_out(host, MAX_OUTPUT_TOKENS / 4) {}
             self.end(host);
             self.flush(host);
             if self.handed_out == before {
--- a/coordination/tests/gateway_budgets.rs
+++ b/coordination/tests/gateway_budgets.rs
@@ -6,7 +6,9 @@
 
 use std::collections::HashSet;
 
-use change_support::{MOST, PROGRAM, Store, reserve, reserve_with_dead_processes, settle};
+use change_support::{
+    MAX_OUTPUT_TOKENS, PROGRAM, Store, reserve, reserve_with_dead_processes, settle,
+};
 use proptest::prelude::*;
 use rosebend_coordination::gateway::pending_changes::{Answer, Outcome, PendingChanges};
 use rosebend_state::deployment::Transaction;
@@ -34,7 +36,7 @@
     let host = 0_usize..3;
     prop_oneof![
         4 => host.clone().prop_map(Step::Start),
-        4 => (host.clone(), 0..=MOST).prop_map(|(host, tokens)| Step::End(host, tokens)),
+        4 => (host.clone(), 0..=MAX_OUTPUT_TOKENS).prop_map(|(host, tokens)| Step::End(host, tokens)),
         6 => host.clone().prop_map(Step::Send),
         2 => host.clone().prop_map(Step::SendAndLoseAnswer),
         1 => host.clone().prop_map(Step::LoseRequest),
@@ -251,7 +253,7 @@
 
 proptest! {
     #[test]
-    fn no_budget_is_overspent(budget in MOST..6 * MOST, steps in steps()) {
+    fn no_budget_is_overspent(budget in MAX_OUTPUT_TOKENS..6 * MAX_OUTPUT_TOKENS, steps in steps()) {
         let mut simulation = Simulation::new(budget);
         for step in steps {
             if !matches!(step, Step::Restart(_)) {
@@ -263,7 +265,7 @@
 
     #[test]
     fn crashes_and_lost_queries_overspend_at_most_one_turn(
-        budget in MOST..6 * MOST,
+        budget in MAX_OUTPUT_TOKENS..6 * MAX_OUTPUT_TOKENS,
         lost_queries in prop::collection::vec(any::<bool>(), 120),
         steps in steps(),
     ) {
@@ -272,13 +274,13 @@
             simulation.are_queries_lost = are_queries_lost;
             simulation.apply_step(step);
             let delivered = simulation.delivered;
-            prop_assert!(delivered <= budget + MOST, "{delivered} of {budget}");
+            prop_assert!(delivered <= budget + MAX_OUTPUT_TOKENS, "{delivered} of {budget}");
         }
     }
 
     #[test]
     fn a_turn_that_fits_the_budget_is_granted_at_any_host(
-        budget in MOST..6 * MOST,
+        budget in MAX_OUTPUT_TOKENS..6 * MAX_OUTPUT_TOKENS,
         host in 0_usize..3,
         steps in steps(),
     ) {
@@ -289,14 +291,14 @@
             }
         }
         simulation.settle_all();
-        let holds = simulation.delivered + MOST <= budget;
+        let holds = simulation.delivered + MAX_OUTPUT_TOKENS <= budget;
         let granted = simulation.grants_turn(host);
         prop_assert_eq!(granted, holds, "{} of {}", simulation.delivered, budget);
     }
 
     #[test]
     fn reservations_of_crashed_hosts_do_not_reject_a_turn(
-        budget in MOST..8 * MOST,
+        budget in MAX_OUTPUT_TOKENS..8 * MAX_OUTPUT_TOKENS,
         host in 0_usize..3,
         steps in steps(),
     ) {
@@ -306,15 +308,15 @@
         }
         simulation.settle_all();
         // A crashed turn may have spent all of its reservation.
-        let unsettled_tokens = simulation.unsettled_turns as u64 * MOST;
-        let holds = simulation.delivered + unsettled_tokens + MOST <= budget;
+        let unsettled_tokens = simulation.unsettled_turns as u64 * MAX_OUTPUT_TOKENS;
+        let holds = simulation.delivered + unsettled_tokens + MAX_OUTPUT_TOKENS <= budget;
         let granted = simulation.grants_turn(host);
         prop_assert!(granted || !holds, "{} and {unsettled_tokens} of {budget}", simulation.delivered);
     }
 
     #[test]
     fn delivered_tokens_are_counted_exactly_once(
-        budget in MOST..100 * MOST,
+        budget in MAX_OUTPUT_TOKENS..100 * MAX_OUTPUT_TOKENS,
         steps in prop::collection::vec(step(), 1..80),
     ) {
         let mut simulation = Simulation::new(budget);
@@ -331,6 +333,6 @@
         let running: usize = simulation.hosts.iter().map(|host| host.running.len()).sum();
         let account = simulation.store.ledger().account();
         prop_assert_eq!(account.spent_tokens, simulation.delivered);
-        prop_assert!(account.reserved_tokens <= running as u64 * MOST);
+        prop_assert!(account.reserved_tokens <= running as u64 * MAX_OUTPUT_TOKENS);
     }
 }
--- a/coordination/tests/gateway_escrow.rs
+++ b/coordination/tests/gateway_escrow.rs
@@ -9,7 +9,7 @@
 
 use std::time::Duration;
 
-use change_support::MOST;
+use change_support::MAX_OUTPUT_TOKENS;
 use escrow_world::World;
 use proptest::prelude::*;
 use rosebend_coordination::gateway::escrow::accounts::{Accounts, Closing, GrantRequest};
@@ -47,7 +47,7 @@
     let host = 0..HOSTS;
     prop_oneof![
         6 => host.clone().prop_map(Step::Begin),
-        8 => (host.clone(), 1..=MOST / 2).prop_map(|(host, tokens)| Step::HandOut(host, tokens)),
+        8 => (host.clone(), 1..=MAX_OUTPUT_TOKENS / 2).prop_map(|(host, tokens)| Step::HandOut(host, tokens)),
         3 => host.clone().prop_map(Step::Spend),
         4 => host.clone().prop_map(Step::End),
         6 => host.clone().prop_map(Step::Send),
@@ -103,20 +103,20 @@
 
     #[test]
     fn no_outage_or_crash_overspends_more_than_one_turn_s_most(
-        budget in MOST..9 * MOST,
+        budget in MAX_OUTPUT_TOKENS..9 * MAX_OUTPUT_TOKENS,
         steps in prop::collection::vec(step(), 1..160),
     ) {
         let mut world = World::new(HOSTS, budget);
         for step in steps {
             play(&mut world, &step);
             let handed_out = world.handed_out;
-            prop_assert!(handed_out <= budget + MOST, "{handed_out} of {budget}");
+            prop_assert!(handed_out <= budget + MAX_OUTPUT_TOKENS, "{handed_out} of {budget}");
         }
     }
 
     #[test]
     fn no_outage_without_death_or_silence_overspends(
-        budget in MOST..9 * MOST,
+        budget in MAX_OUTPUT_TOKENS..9 * MAX_OUTPUT_TOKENS,
         steps in prop::collection::vec(step(), 1..160),
     ) {
         let mut world = World::new(HOSTS, budget);
@@ -133,7 +133,7 @@
 
     #[test]
     fn what_was_granted_is_in_the_ledger_once_the_store_is_back(
-        budget in 3 * MOST..9 * MOST,
+        budget in 3 * MAX_OUTPUT_TOKENS..9 * MAX_OUTPUT_TOKENS,
         turns in 1..6_usize,
     ) {
         let mut world = World::new(HOSTS, budget);
@@ -141,7 +141,7 @@
         let mut handed_out = 0;
         for turn in 0..turns {
             if world.serve(turn % HOSTS) {
-                handed_out += MOST / 4;
+                handed_out += MAX_OUTPUT_TOKENS / 4;
             }
         }
         world.is_store_up = true;
@@ -155,7 +155,7 @@
     let served: Vec<usize> = [2, 3, 4, 6, 8]
         .into_iter()
         .map(|turns_of_budget| {
-            let mut world = World::new(HOSTS, turns_of_budget * MOST);
+            let mut world = World::new(HOSTS, turns_of_budget * MAX_OUTPUT_TOKENS);
             world.is_store_up = false;
             (0..12).filter(|turn| world.serve(turn % HOSTS)).count()
         })
@@ -165,7 +165,7 @@
 
 #[test]
 fn a_planned_stop_in_an_outage_leaves_the_slots_to_others() {
-    let mut world = World::new(HOSTS, 4 * MOST);
+    let mut world = World::new(HOSTS, 4 * MAX_OUTPUT_TOKENS);
     world.is_store_up = false;
     assert!(world.serve(0));
     for host in 0..HOSTS - 1 {
@@ -177,10 +177,14 @@
 
 #[test]
 fn a_planned_stop_keeps_what_was_closed() {
-    let budget = 4 * MOST;
+    let budget = 4 * MAX_OUTPUT_TOKENS;
     let mut world = World::new(HOSTS, budget);
     world.spend(0);
-    assert!(world.handed_out + MOST > budget, "{}", world.handed_out);
+    assert!(
+        world.handed_out + MAX_OUTPUT_TOKENS > budget,
+        "{}",
+        world.handed_out
+    );
     for host in 0..HOSTS {
         world.stop(host);
         (0..HOSTS).for_each(|host| world.learn(host));
@@ -193,21 +197,21 @@
 /// the stops before.
 #[test]
 fn planned_stops_one_after_the_other_leave_no_slot_to_a_host_that_is_gone() {
-    let budget = 8 * MOST;
-    let quarter = MOST / 4;
+    let budget = 8 * MAX_OUTPUT_TOKENS;
+    let quarter = MAX_OUTPUT_TOKENS / 4;
     let mut world = World::new(HOSTS, budget);
     (0..HOSTS).for_each(|host| world.stop(host));
     (0..HOSTS).for_each(|host| world.learn(host));
     (0..HOSTS).for_each(|host| world.claim(host));
     (0..HOSTS).for_each(|host| world.learn(host));
     let served = (0..60).filter(|turn| world.serve(turn % HOSTS)).count();
-    assert_eq!(served as u64, (budget - MOST) / quarter + 1);
+    assert_eq!(served as u64, (budget - MAX_OUTPUT_TOKENS) / quarter + 1);
 }
 
 #[test]
 fn the_death_of_one_owner_leaves_the_other_slot() {
     for killed in 0..HOSTS {
-        let mut world = World::new(HOSTS, 4 * MOST);
+        let mut world = World::new(HOSTS, 4 * MAX_OUTPUT_TOKENS);
         world.is_store_up = false;
         world.kill(killed);
         let host = (killed + 1) % HOSTS;
@@ -218,10 +222,10 @@
 #[test]
 fn the_whole_budget_is_there_without_an_outage() {
     for turns_of_budget in 1..9 {
-        let budget = turns_of_budget * MOST;
+        let budget = turns_of_budget * MAX_OUTPUT_TOKENS;
         let mut world = World::new(HOSTS, budget);
-        let quarter = MOST / 4;
-        let expected = (budget - MOST) / quarter + 1;
+        let quarter = MAX_OUTPUT_TOKENS / 4;
+        let expected = (budget - MAX_OUTPUT_TOKENS) / quarter + 1;
         let served = (0..60).filter(|turn| world.serve(turn % HOSTS)).count();
         assert_eq!(served as u64, expected, "budget of {turns_of_budget}");
     }
@@ -231,7 +235,7 @@
 fn a_crash_of_all_hosts_leaves_budget_for_a_few_turns() {
     let served: Vec<usize> = (3..9)
         .map(|turns_of_budget| {
-            let mut world = World::new(HOSTS, turns_of_budget * MOST);
+            let mut world = World::new(HOSTS, turns_of_budget * MAX_OUTPUT_TOKENS);
             (0..HOSTS).for_each(|host| world.kill(host));
             (0..HOSTS).for_each(|host| world.learn(host));
             (0..60).filter(|turn| world.serve(turn % HOSTS)).count()
@@ -244,7 +248,7 @@
 #[test]
 fn deaths_of_all_owners_that_hold_off_cost_no_budget() {
     for turns_of_budget in 1..9 {
-        let budget = turns_of_budget * MOST;
+        let budget = turns_of_budget * MAX_OUTPUT_TOKENS;
         let mut world = World::new(HOSTS, budget);
         let mut served = 0;
         for _ in 0..4 {
@@ -255,8 +259,8 @@
             world.settle_down();
         }
         served += (0..60).filter(|turn| world.serve(turn % HOSTS)).count();
-        let quarter = MOST / 4;
-        let expected = (budget - MOST) / quarter + 1;
+        let quarter = MAX_OUTPUT_TOKENS / 4;
+        let expected = (budget - MAX_OUTPUT_TOKENS) / quarter + 1;
         assert_eq!(served as u64, expected, "budget of {turns_of_budget}");
     }
 }
@@ -264,7 +268,7 @@
 /// Hosts that stop are killed before they have given up their slots.
 #[test]
 fn deaths_of_owners_that_were_stopping_cost_no_budget() {
-    let budget = 8 * MOST;
+    let budget = 8 * MAX_OUTPUT_TOKENS;
     let mut world = World::new(HOSTS, budget);
     (0..HOSTS).for_each(|host| world.hold_off(host));
     world.now += Duration::from_millis(1_200);
@@ -274,13 +278,16 @@
     (0..HOSTS).for_each(|host| world.kill(host));
     world.settle_down();
     let served = (0..60).filter(|turn| world.serve(turn % HOSTS)).count();
-    assert_eq!(served as u64, (budget - MOST) / (MOST / 4) + 1);
+    assert_eq!(
+        served as u64,
+        (budget - MAX_OUTPUT_TOKENS) / (MAX_OUTPUT_TOKENS / 4) + 1
+    );
 }
 
 /// All hosts die, and the store is away soon after they are back.
 #[test]
 fn an_outage_after_a_death_of_all_owners_is_served() {
-    let mut world = World::new(HOSTS, 4 * MOST);
+    let mut world = World::new(HOSTS, 4 * MAX_OUTPUT_TOKENS);
     (0..HOSTS).for_each(|host| world.hold_off(host));
     world.now += Duration::from_secs(1);
     (0..HOSTS).for_each(|host| world.kill(host));
@@ -296,7 +303,7 @@
 /// A host is cut off from a store that answers the owners.
 #[test]
 fn an_owner_that_is_asked_ends_its_hold_off() {
-    let budget = 4 * MOST;
+    let budget = 4 * MAX_OUTPUT_TOKENS;
     let mut world = World::new(HOSTS, budget);
     (0..HOSTS).for_each(|host| world.hold_off(host));
     assert!(!world.want(0), "the owners hold off");
@@ -309,15 +316,22 @@
     world.settle_down();
     world.spend(0);
     let handed_out = world.handed_out;
-    assert!(handed_out <= budget + MOST, "{handed_out} of {budget}");
+    assert!(
+        handed_out <= budget + MAX_OUTPUT_TOKENS,
+        "{handed_out} of {budget}"
+    );
 }
 
 #[test]
 fn a_death_keeps_what_was_closed() {
-    let budget = 4 * MOST;
+    let budget = 4 * MAX_OUTPUT_TOKENS;
     let mut world = World::new(HOSTS, budget);
     world.spend(0);
-    assert!(world.handed_out + MOST > budget, "{}", world.handed_out);
+    assert!(
+        world.handed_out + MAX_OUTPUT_TOKENS > budget,
+        "{}",
+        world.handed_out
+    );
     (0..HOSTS).for_each(|host| world.hold_off(host));
     (0..HOSTS).for_each(|host| world.kill(host));
     world.settle_down();
@@ -328,7 +342,7 @@
 /// What was granted is lost with an owner that held off no more.
 #[test]
 fn a_death_after_the_hold_off_leaves_the_slots_without_an_owner() {
-    let mut world = World::new(HOSTS, 4 * MOST);
+    let mut world = World::new(HOSTS, 4 * MAX_OUTPUT_TOKENS);
     (0..HOSTS).for_each(|host| world.hold_off(host));
     world.now += HOLD_OFF + Duration::from_millis(1);
     (0..HOSTS).for_each(|host| world.kill(host));
@@ -340,11 +354,11 @@
 /// Hosts granted in an outage and die after it, before the ledger has what they granted.
 #[test]
 fn an_owner_whose_grants_no_ledger_has_does_not_hold_off() {
-    let budget = 4 * MOST;
+    let budget = 4 * MAX_OUTPUT_TOKENS;
     let mut world = World::new(HOSTS, budget);
     world.is_store_up = false;
     world.spend(0);
-    assert!(world.handed_out > MOST, "{}", world.handed_out);
+    assert!(world.handed_out > MAX_OUTPUT_TOKENS, "{}", world.handed_out);
     world.is_store_up = true;
     world.now += DEMAND_TIME;
     (0..HOSTS).for_each(|host| world.hold_off(host));
@@ -352,16 +366,19 @@
     world.settle_down();
     world.spend(0);
     let handed_out = world.handed_out;
-    assert!(handed_out <= budget + MOST, "{handed_out} of {budget}");
+    assert!(
+        handed_out <= budget + MAX_OUTPUT_TOKENS,
+        "{handed_out} of {budget}"
+    );
 }
 
 /// An owner says that the slot is closed and dies; the reservation that rests on it comes
 /// to the store after the next owner has read which programs are closed.
 #[test]
 fn a_reservation_that_rests_on_a_dead_owner_s_word_is_not_written() {
-    let budget = 4 * MOST;
+    let budget = 4 * MAX_OUTPUT_TOKENS;
     let mut world = World::new(HOSTS, budget);
-    while world.spent() + 2 * MOST <= budget {
+    while world.spent() + 2 * MAX_OUTPUT_TOKENS <= budget {
         assert!(world.serve(0));
     }
     (0..HOSTS).for_each(|host| world.hold_off(host));
@@ -378,15 +395,15 @@
 
 #[test]
 fn an_outage_leaves_the_rest_of_the_budget() {
-    let budget = 8 * MOST;
+    let budget = 8 * MAX_OUTPUT_TOKENS;
     let mut world = World::new(HOSTS, budget);
-    let quarter = MOST / 4;
+    let quarter = MAX_OUTPUT_TOKENS / 4;
     world.is_store_up = false;
     let in_outage = (0..6).filter(|turn| world.serve(turn % HOSTS)).count();
     world.is_store_up = true;
     (0..HOSTS).for_each(|host| world.flush(host));
     let after = (0..60).filter(|turn| world.serve(turn % HOSTS)).count();
-    let expected = (budget - MOST) / quarter + 1;
+    let expected = (budget - MAX_OUTPUT_TOKENS) / quarter + 1;
     assert_eq!((in_outage + after) as u64, expected);
 }
 
@@ -396,19 +413,22 @@
     let request = |grant: &str, tokens| GrantRequest {
         grant: grant.to_owned(),
         tokens,
-        most_tokens: MOST,
-        budget_tokens: 8 * MOST,
+        most_tokens: MAX_OUTPUT_TOKENS,
+        budget_tokens: 8 * MAX_OUTPUT_TOKENS,
     };
-    assert!(accounts.grant("p", &request("g", MOST)));
-    assert!(accounts.grant("p", &request("g", MOST)), "asked again");
-    assert_eq!(accounts.close("p"), Closing::Outstanding(MOST));
+    assert!(accounts.grant("p", &request("g", MAX_OUTPUT_TOKENS)));
+    assert!(
+        accounts.grant("p", &request("g", MAX_OUTPUT_TOKENS)),
+        "asked again"
+    );
+    assert_eq!(accounts.close("p"), Closing::Outstanding(MAX_OUTPUT_TOKENS));
     assert!(!accounts.grant("p", &request("h", 1)));
     accounts.report("p", "g", 70);
     assert_eq!(accounts.close("p"), Closing::Outstanding(70));
     accounts.settle("p", "g");
     assert_eq!(accounts.close("p"), Closing::Closed);
     assert!(!accounts.grant("p", &request("i", 1)));
-    assert!(accounts.grant("other", &request("j", MOST)));
+    assert!(accounts.grant("other", &request("j", MAX_OUTPUT_TOKENS)));
 }
 
 #[test]
--- a/coordination/tests/gateway_pending_changes.rs
+++ b/coordination/tests/gateway_pending_changes.rs
@@ -3,7 +3,9 @@
 
 mod change_support;
 
-use change_support::{MOST, PROGRAM, Store, flush, reserve, reserve_with_dead_processes, settle};
+use change_support::{
+    MAX_OUTPUT_TOKENS, PROGRAM, Store, flush, reserve, reserve_with_dead_processes, settle,
+};
 use rosebend_coordination::gateway::escrow::terms::EscrowTerms;
 use rosebend_coordination::gateway::history::ledger_row;
 use rosebend_coordination::gateway::pending_changes::{Answer, Change, Outcome, PendingChanges};
@@ -18,7 +20,7 @@
     let mut changes = PendingChanges::new(FIRST.to_owned());
     changes.submit(PROGRAM.to_owned(), reserve("t1", 2_000));
     flush(&mut changes, &mut store);
-    assert_eq!(store.ledger().committed_tokens(), MOST);
+    assert_eq!(store.ledger().committed_tokens(), MAX_OUTPUT_TOKENS);
     changes.submit(PROGRAM.to_owned(), settle("t1", 70));
     assert_eq!(flush(&mut changes, &mut store), [Outcome::Durable]);
     assert_eq!(store.ledger().committed_tokens(), 70);
@@ -37,17 +39,17 @@
     let outcomes = flush(&mut changes, &mut store);
     assert_eq!(outcomes, [Outcome::Durable, Outcome::Durable]);
     assert_eq!(store.version - before, 1);
-    assert_eq!(store.ledger().committed_tokens(), 70 + MOST);
+    assert_eq!(store.ledger().committed_tokens(), 70 + MAX_OUTPUT_TOKENS);
 }
 
 #[test]
 fn a_reservation_beyond_the_budget_writes_nothing() {
     let mut store = Store::default();
     let mut changes = PendingChanges::new(FIRST.to_owned());
-    changes.submit(PROGRAM.to_owned(), reserve("t1", MOST));
+    changes.submit(PROGRAM.to_owned(), reserve("t1", MAX_OUTPUT_TOKENS));
     flush(&mut changes, &mut store);
     let before = store.version;
-    changes.submit(PROGRAM.to_owned(), reserve("t2", MOST));
+    changes.submit(PROGRAM.to_owned(), reserve("t2", MAX_OUTPUT_TOKENS));
     assert_eq!(flush(&mut changes, &mut store), [Outcome::Exhausted]);
     assert_eq!(store.version, before);
 }
@@ -57,11 +59,11 @@
     let mut store = Store::default();
     let mut first = PendingChanges::new(FIRST.to_owned());
     let mut second = PendingChanges::new(SECOND.to_owned());
-    first.submit(PROGRAM.to_owned(), reserve("t1", 2 * MOST));
+    first.submit(PROGRAM.to_owned(), reserve("t1", 2 * MAX_OUTPUT_TOKENS));
     flush(&mut first, &mut store);
-    second.submit(PROGRAM.to_owned(), reserve("t2", 2 * MOST));
+    second.submit(PROGRAM.to_owned(), reserve("t2", 2 * MAX_OUTPUT_TOKENS));
     assert_eq!(flush(&mut second, &mut store), [Outcome::Durable]);
-    assert_eq!(store.ledger().committed_tokens(), 2 * MOST);
+    assert_eq!(store.ledger().committed_tokens(), 2 * MAX_OUTPUT_TOKENS);
 }
 
 #[test]
@@ -106,7 +108,7 @@
         [Outcome::Durable, Outcome::Durable]
     );
     assert_eq!(changes.next_transaction().0, None);
-    assert_eq!(store.ledger().committed_tokens(), 70 + MOST);
+    assert_eq!(store.ledger().committed_tokens(), 70 + MAX_OUTPUT_TOKENS);
 }
 
 #[test]
@@ -120,7 +122,7 @@
     flush(&mut second, &mut store);
     assert_eq!(first.handle_answer(store.apply(&transaction)), []);
     assert_eq!(flush(&mut first, &mut store), [Outcome::Durable]);
-    assert_eq!(store.ledger().committed_tokens(), 2 * MOST);
+    assert_eq!(store.ledger().committed_tokens(), 2 * MAX_OUTPUT_TOKENS);
 }
 
 /// Guards against lost rows: another host may have settled the same attempt with other
@@ -165,13 +167,13 @@
 
 #[test]
 fn a_small_turn_writes_off_part_of_a_reservation() {
-    let budget = 70 + 2 * MOST;
+    let budget = 70 + 2 * MAX_OUTPUT_TOKENS;
     let mut store = Store::default();
     let (_first, mut second) = start_turn_at_first(&mut store, budget);
     second.submit(PROGRAM.to_owned(), reserve("t2", budget));
     let small = Change::Reserve {
         attempt: "t3".to_owned(),
-        max_output_tokens: MOST / 4,
+        max_output_tokens: MAX_OUTPUT_TOKENS / 4,
         budget_tokens: budget,
         dead_processes: first_process(),
         escrow: EscrowTerms::Excluded,
@@ -184,7 +186,7 @@
 
 #[test]
 fn a_turn_that_fits_writes_off_nothing() {
-    let budget = 100 * MOST;
+    let budget = 100 * MAX_OUTPUT_TOKENS;
     let mut store = Store::default();
     let (_first, mut second) = start_turn_at_first(&mut store, budget);
     second.submit(
@@ -192,12 +194,15 @@
         reserve_with_dead_processes("t2", budget, first_process()),
     );
     flush(&mut second, &mut store);
-    assert_eq!(store.ledger().committed_tokens(), 70 + 2 * MOST);
+    assert_eq!(
+        store.ledger().committed_tokens(),
+        70 + 2 * MAX_OUTPUT_TOKENS
+    );
 }
 
 #[test]
 fn write_offs_are_limited_to_one_turn() {
-    let budget = 70 + 2 * MOST;
+    let budget = 70 + 2 * MAX_OUTPUT_TOKENS;
     let mut store = Store::default();
     let (mut first, mut second) = start_turn_at_first(&mut store, budget);
     // Two turns run at the first host when it dies.
@@ -218,7 +223,7 @@
 
 #[test]
 fn a_turn_that_settles_after_its_write_off_is_counted() {
-    let budget = 70 + 2 * MOST;
+    let budget = 70 + 2 * MAX_OUTPUT_TOKENS;
     let mut store = Store::default();
     let (mut first, mut second) = start_turn_at_first(&mut store, budget);
     second.submit(PROGRAM.to_owned(), reserve("t3", budget));
@@ -229,7 +234,10 @@
     flush(&mut second, &mut store);
     first.submit(PROGRAM.to_owned(), settle("running", 200));
     flush(&mut first, &mut store);
-    assert_eq!(store.ledger().committed_tokens(), 270 + 2 * MOST);
+    assert_eq!(
+        store.ledger().committed_tokens(),
+        270 + 2 * MAX_OUTPUT_TOKENS
+    );
 }
 
 #[test]
