--- a/coordination/src/gateway/escrow/hold_off.rs
+++ b/coordination/src/gateway/escrow/hold_off.rs
@@ -25,7 +25,7 @@
 use serde::{Deserialize, Serialize};
 use serde_with::{DurationMilliSeconds, serde_as};
 
-use crate::gateway::ledger::Holder;
+use crate::gateway::ledger::ProcessId;
 
 /// Duration of a hold-off after its announcement. It is long enough for a killed
 /// process to be restarted within it. A turn at the beginning of an outage waits
@@ -46,7 +46,7 @@
 #[serde(deny_unknown_fields)]
 pub struct HoldOffRow {
     /// Process that holds off.
-    pub run: Holder,
+    pub run: ProcessId,
     /// Epoch of the hold-off. The end marker of this epoch invalidates the row.
     pub epoch: Epoch,
     /// End of the hold-off, as a time of the store's clock.
@@ -57,7 +57,7 @@
 impl HoldOffRow {
     /// Creates the row of a process that starts or renews a hold-off now. `store_now`
     /// is a lower bound of the store's clock.
-    pub fn new(run: Holder, epoch: Epoch, store_now: Duration) -> Self {
+    pub fn new(run: ProcessId, epoch: Epoch, store_now: Duration) -> Self {
         Self {
             run,
             epoch,
@@ -77,7 +77,7 @@
     }
 
     /// Returns the key of the end marker of an epoch of a process.
-    pub fn marker_key(host: &HostId, run: &Holder, epoch: Epoch) -> String {
+    pub fn marker_key(host: &HostId, run: &ProcessId, epoch: Epoch) -> String {
         format!("hold-off/{host}/{run}/{epoch}")
     }
 
@@ -102,7 +102,7 @@
     /// Returns the process that died during its hold-off, if the current process of the
     /// same host started no later than `store_now`; returns `None` if the hold-off may
     /// have ended before.
-    pub fn died_within_hold_off(self, store_now: Duration) -> Option<Holder> {
+    pub fn died_within_hold_off(self, store_now: Duration) -> Option<ProcessId> {
         (store_now <= self.until_store_ms).then_some(self.run)
     }
 }
--- a/coordination/src/gateway/escrow/message.rs
+++ b/coordination/src/gateway/escrow/message.rs
@@ -9,7 +9,7 @@
 use super::GrantId;
 use super::accounts::{Accounts, GrantRequest};
 use super::slot::SlotId;
-use crate::gateway::ledger::Holder;
+use crate::gateway::ledger::ProcessId;
 
 /// Request to another process about a slot. It may be sent repeatedly.
 #[derive(Clone, Debug, Eq, PartialEq)]
@@ -18,9 +18,9 @@
     /// Number of the request, which its answer repeats.
     pub number: u64,
     /// Process that sends the request.
-    pub from: Holder,
+    pub from: ProcessId,
     /// Process that the request is addressed to. No other process answers it.
-    pub to: Holder,
+    pub to: ProcessId,
     /// Slot that the request concerns.
     pub slot: SlotId,
     /// Content of the request.
@@ -45,7 +45,7 @@
         fence: RowVersion,
     },
     /// Announces that the sender has taken over the slot from this process.
-    Moved(Holder),
+    Moved(ProcessId),
 }
 
 /// Requests to the owner of a slot about one program.
@@ -100,7 +100,7 @@
     /// Number of the request.
     pub number: u64,
     /// Process that sent the request.
-    pub to: Holder,
+    pub to: ProcessId,
     /// Reply to the request.
     pub reply: Reply,
 }
--- a/coordination/src/gateway/escrow/slot.rs
+++ b/coordination/src/gateway/escrow/slot.rs
@@ -6,7 +6,7 @@
 use super::accounts::Accounts;
 use super::{SLOTS, SlotIndex};
 use crate::gateway::history::partitions;
-use crate::gateway::ledger::Holder;
+use crate::gateway::ledger::ProcessId;
 
 /// Prefix of the keys of slot rows.
 pub(super) const KEY_PREFIX: &str = "escrow/";
@@ -84,7 +84,7 @@
 pub struct SlotRow {
     /// Owner of the slot. It is `None` after a planned stop of an owner that found no
     /// successor.
-    pub owner: Option<Holder>,
+    pub owner: Option<ProcessId>,
     /// Accounts that the previous owner left at its planned stop.
     #[serde(default)]
     pub accounts: Accounts,
--- a/coordination/src/gateway/escrow/slots.rs
+++ b/coordination/src/gateway/escrow/slots.rs
@@ -24,7 +24,7 @@
 use super::message::{Ask, ProgramAsk, Reply};
 use super::slot::{KEY_PREFIX, SlotId, SlotRow, SlotWrite};
 use crate::gateway::gatherers::{Candidate, ranked_by, strong};
-use crate::gateway::ledger::Holder;
+use crate::gateway::ledger::ProcessId;
 
 /// Time for which a slot remains assigned to an owner that is absent.
 pub const QUARANTINE: Duration = Duration::from_secs(300);
@@ -43,7 +43,7 @@
     /// This process owns the slot.
     Local,
     /// Another process owns the slot; it is listed with this address.
-    Remote(Holder, A),
+    Remote(ProcessId, A),
     /// The owner is not in the table of hosts.
     Absent,
     /// The slot has no owner, and no grants were lost.
@@ -65,18 +65,18 @@
     /// Time since which the owner has been absent from the table of hosts.
     missing_since: Option<Duration>,
     /// Process that took over the slot from the owner that the row names.
-    moved_to: Option<Holder>,
+    moved_to: Option<ProcessId>,
 }
 
 impl ObservedSlot {
-    fn owner(&self) -> Option<&Holder> {
+    fn owner(&self) -> Option<&ProcessId> {
         self.moved_to.as_ref().or(self.row.owner.as_ref())
     }
 }
 
 impl HeldSlot {
     /// Creates the slot's row for another owner.
-    fn row(&self, owner: Option<Holder>) -> SlotRow {
+    fn row(&self, owner: Option<ProcessId>) -> SlotRow {
         SlotRow {
             owner,
             accounts: self.accounts.clone(),
@@ -89,7 +89,7 @@
 /// State of all slots, as known to one gateway process.
 #[derive(Debug)]
 pub struct Slots<A> {
-    own_process: Holder,
+    own_process: ProcessId,
     hosts: Vec<Candidate<A>>,
     hosts_changed_at: Duration,
     /// Whether all hosts withhold tokens for grants in their ledgers. No slot is
@@ -101,7 +101,7 @@
     unclaimed_since: Option<Duration>,
     held: BTreeMap<SlotId, HeldSlot>,
     /// Previous process on this host, if it died during its hold-off.
-    clean_predecessor: Option<Holder>,
+    clean_predecessor: Option<ProcessId>,
     /// End of this process's hold-off; the process makes no grants until then.
     held_off_until: Duration,
     /// Time of the last request for a grant.
@@ -119,7 +119,7 @@
 
 impl<A: Clone> Slots<A> {
     /// Creates a state without any hosts or rows.
-    pub const fn new(own_process: Holder) -> Self {
+    pub const fn new(own_process: ProcessId) -> Self {
         Self {
             own_process,
             hosts: Vec::new(),
@@ -140,7 +140,7 @@
 
     /// Replaces the list of hosts, which includes this one.
     pub fn set_hosts(&mut self, hosts: Vec<Candidate<A>>, all_withhold: bool, now: Duration) {
-        let processes = |hosts: &[Candidate<A>]| -> Vec<Holder> {
+        let processes = |hosts: &[Candidate<A>]| -> Vec<ProcessId> {
             hosts.iter().map(|host| host.run.clone()).collect()
         };
         if processes(&hosts) != processes(&self.hosts) {
@@ -193,7 +193,7 @@
         }
     }
 
-    fn host(&self, process: &Holder) -> Option<&Candidate<A>> {
+    fn host(&self, process: &ProcessId) -> Option<&Candidate<A>> {
         self.hosts.iter().find(|host| host.run == *process)
     }
 
@@ -239,7 +239,7 @@
     }
 
     /// Sets the previous process on this host, if it died during its hold-off.
-    pub fn set_clean_predecessor(&mut self, process: Option<Holder>) {
+    pub fn set_clean_predecessor(&mut self, process: Option<ProcessId>) {
         self.clean_predecessor = process;
     }
 
@@ -306,7 +306,7 @@
     }
 
     /// Handles a request about a slot and returns the reply.
-    pub fn answer(&mut self, slot: &SlotId, from: &Holder, ask: Ask, now: Duration) -> Reply {
+    pub fn answer(&mut self, slot: &SlotId, from: &ProcessId, ask: Ask, now: Duration) -> Reply {
         match ask {
             Ask::Accept => self.accept(slot),
             Ask::TakeOver { accounts, fence } => {
@@ -360,7 +360,7 @@
         Reply::Noted
     }
 
-    fn take_over(&mut self, slot: &SlotId, from: &Holder, held: HeldSlot) -> Reply {
+    fn take_over(&mut self, slot: &SlotId, from: &ProcessId, held: HeldSlot) -> Reply {
         let observed = self.observed.entry(slot.clone()).or_default();
         if observed.moved_to.as_ref() == Some(&self.own_process) {
             // The request was repeated.
@@ -374,7 +374,7 @@
         Reply::Noted
     }
 
-    fn record_move(&mut self, slot: &SlotId, owner: &Holder, to: &Holder) -> Reply {
+    fn record_move(&mut self, slot: &SlotId, owner: &ProcessId, to: &ProcessId) -> Reply {
         let observed = self.observed.entry(slot.clone()).or_default();
         if observed.owner() == Some(owner) {
             observed.moved_to = Some(to.clone());
@@ -428,7 +428,7 @@
     }
 
     fn update_missing(&mut self, now: Duration) {
-        let processes: Vec<&Holder> = self.hosts.iter().map(|host| &host.run).collect();
+        let processes: Vec<&ProcessId> = self.hosts.iter().map(|host| &host.run).collect();
         for observed in self.observed.values_mut() {
             let is_missing = observed
                 .owner()
@@ -463,15 +463,15 @@
 
     /// Returns the process that should claim an unowned slot: the first one in the
     /// partition's rendezvous order that does not own the partition's other slot.
-    fn preferred_owner(&self, slot: &SlotId) -> Option<&Holder> {
+    fn preferred_owner(&self, slot: &SlotId) -> Option<&ProcessId> {
         let hosts = strong(self.hosts.clone());
         let ranked = ranked_by(&format!("{KEY_PREFIX}{}", slot.partition), hosts.iter());
-        let ranked: Vec<Holder> = ranked.into_iter().map(|host| host.run.clone()).collect();
+        let ranked: Vec<ProcessId> = ranked.into_iter().map(|host| host.run.clone()).collect();
         let mut taken = Vec::new();
         for other in SlotId::of_partition(&slot.partition) {
             let owner = self.observed.get(&other).and_then(ObservedSlot::owner);
             let owner = owner.filter(|owner| ranked.contains(owner));
-            let is_free = |process: &&Holder| !taken.contains(*process);
+            let is_free = |process: &&ProcessId| !taken.contains(*process);
             let next = match owner {
                 Some(owner) if other != *slot => Some(owner.clone()),
                 _ => ranked.iter().find(is_free).or(ranked.first()).cloned(),
@@ -549,7 +549,7 @@
         let hosts = strong(self.hosts.clone());
         let ranked = ranked_by(&format!("{KEY_PREFIX}{}", slot.partition), hosts.iter());
         let others = SlotId::of_partition(&slot.partition).filter(|other| other != slot);
-        let others: Vec<&Holder> = others
+        let others: Vec<&ProcessId> = others
             .filter_map(|other| self.observed.get(&other)?.owner())
             .collect();
         let mut ranked: Vec<&Candidate<A>> = ranked
--- a/coordination/src/gateway/limits.rs
+++ b/coordination/src/gateway/limits.rs
@@ -33,7 +33,7 @@
 use self::local_quota::{LocalQuota, RequestClass};
 use self::message::{AllocatorRequest, AllocatorResponse};
 use crate::gateway::gatherers::Candidate;
-use crate::gateway::ledger::Holder;
+use crate::gateway::ledger::ProcessId;
 
 pub mod allocator;
 pub mod bucket;
@@ -89,7 +89,7 @@
     /// Requests of the customer that this host has served.
     pub served: u64,
     /// Process that allocates the limit, or none if no allocator responds.
-    pub allocator: Option<Holder>,
+    pub allocator: Option<ProcessId>,
     /// Time since the last response of the allocator.
     pub response_age: Option<Duration>,
 }
@@ -97,12 +97,12 @@
 /// Local quotas of one host, and the limits that this host allocates.
 #[derive(Debug)]
 pub struct HostLimits<A> {
-    own_process: Holder,
+    own_process: ProcessId,
     limits: HashMap<CustomerName, CustomerLimit>,
     tolerance: Tolerance,
     host_count: usize,
     /// Processes of all known hosts; messages of any other process are ignored.
-    processes: HashSet<Holder>,
+    processes: HashSet<ProcessId>,
     links: AllocatorLinks<A>,
     local_quotas: HashMap<CustomerName, LocalQuota>,
     allocator: Allocator,
@@ -110,7 +110,7 @@
 
 impl<A: Clone> HostLimits<A> {
     /// Creates the state of a host without customers and without other hosts.
-    pub fn new(own_process: Holder, tolerance: Tolerance) -> Self {
+    pub fn new(own_process: ProcessId, tolerance: Tolerance) -> Self {
         Self {
             links: AllocatorLinks::new(own_process.clone()),
             own_process,
--- a/coordination/src/gateway/limits/allocator.rs
+++ b/coordination/src/gateway/limits/allocator.rs
@@ -10,7 +10,7 @@
 use super::links::ALLOCATOR_TIMEOUT;
 use super::message::{AllocatorRequest, QuotaGrant, QuotaRequest};
 use super::{Group, Tolerance};
-use crate::gateway::ledger::Holder;
+use crate::gateway::ledger::ProcessId;
 
 /// Fraction of the tolerated overage that a request bucket holds in addition to the
 /// burst. The rest covers requests that are served without a grant, and requests
@@ -61,7 +61,7 @@
 pub struct Allocator {
     accounts: HashMap<CustomerName, Account>,
     /// Times until which hosts count as using this allocator, by group.
-    followers: HashMap<Group, HashMap<Holder, Duration>>,
+    followers: HashMap<Group, HashMap<ProcessId, Duration>>,
     /// Observed requests of the programs of all customers.
     usage: ProgramUsage,
 }
@@ -73,7 +73,7 @@
     requests: TokenBucket,
     /// Tokens for the expected requests of the programs that start.
     starts: TokenBucket,
-    hosts: HashMap<Holder, HostAccount>,
+    hosts: HashMap<ProcessId, HostAccount>,
     /// Total quota that the hosts hold.
     held: u64,
     /// Time of the last request of any host.
@@ -148,7 +148,7 @@
     /// Applies the report of a host about a customer, and grants it further quota.
     pub fn grant(
         &mut self,
-        host: &Holder,
+        host: &ProcessId,
         requested: &QuotaRequest,
         limit: CustomerLimit,
         tolerance: Tolerance,
@@ -244,7 +244,7 @@
     /// programs that it started since its last report.
     fn apply_report(
         &mut self,
-        host: &Holder,
+        host: &ProcessId,
         requested: &QuotaRequest,
         now: Duration,
     ) -> (f64, f64) {
@@ -276,7 +276,7 @@
     /// of granted starts that the host did not use.
     fn settle_starts(
         &mut self,
-        host: &Holder,
+        host: &ProcessId,
         requested: &QuotaRequest,
         started: f64,
         requests_per_start: f64,
@@ -292,7 +292,7 @@
 
     fn grant(
         &mut self,
-        host: &Holder,
+        host: &ProcessId,
         requested: &QuotaRequest,
         capacities: &Capacities,
         rate_per_s: f64,
--- a/coordination/src/gateway/limits/links.rs
+++ b/coordination/src/gateway/limits/links.rs
@@ -10,7 +10,7 @@
 
 use super::{GROUP_COUNT, Group};
 use crate::gateway::gatherers::{Candidate, ranked_by, strong};
-use crate::gateway::ledger::Holder;
+use crate::gateway::ledger::ProcessId;
 
 /// Time without a response after which a host switches to the next allocator. An
 /// allocator also stops counting a host that has not received its response for this
@@ -35,16 +35,16 @@
 /// The ranked allocators of all groups, and the state of the exchange with each.
 #[derive(Debug)]
 pub struct AllocatorLinks<A> {
-    own_process: Holder,
+    own_process: ProcessId,
     /// Allocators by group, in descending order of rank.
     ranked: Vec<Vec<Candidate<A>>>,
-    links: HashMap<Holder, Link>,
+    links: HashMap<ProcessId, Link>,
     number: u64,
 }
 
 impl<A: Clone> AllocatorLinks<A> {
     /// Creates a table without other hosts.
-    pub fn new(own_process: Holder) -> Self {
+    pub fn new(own_process: ProcessId) -> Self {
         Self {
             own_process,
             ranked: Vec::new(),
@@ -104,26 +104,26 @@
         Some(ALLOCATOR_TIMEOUT.saturating_sub(self.unresponsive_time(&current.run, now)))
     }
 
-    fn is_unresponsive(&self, process: &Holder, now: Duration) -> bool {
+    fn is_unresponsive(&self, process: &ProcessId, now: Duration) -> bool {
         self.unresponsive_time(process, now) > ALLOCATOR_TIMEOUT
     }
 
     /// Returns the time for which a process has not responded.
-    fn unresponsive_time(&self, process: &Holder, now: Duration) -> Duration {
+    fn unresponsive_time(&self, process: &ProcessId, now: Duration) -> Duration {
         let link = self.links.get(process);
         let since = link.and_then(|link| link.unanswered_since);
         since.map_or(Duration::ZERO, |since| now.saturating_sub(since))
     }
 
     /// Returns whether a heartbeat to a process is due.
-    pub fn is_due(&self, process: &Holder, now: Duration) -> bool {
+    pub fn is_due(&self, process: &ProcessId, now: Duration) -> bool {
         let sent_at = self.links.get(process).and_then(|link| link.sent_at);
         sent_at.is_none_or(|sent_at| now.saturating_sub(sent_at) >= HEARTBEAT_INTERVAL)
     }
 
     /// Records that a request is sent to a process. Returns the number of the
     /// request.
-    pub fn record_request(&mut self, process: &Holder, now: Duration) -> u64 {
+    pub fn record_request(&mut self, process: &ProcessId, now: Duration) -> u64 {
         self.number += 1;
         let link = self.links.entry(process.clone()).or_default();
         link.sent_at = Some(now);
@@ -132,14 +132,14 @@
     }
 
     /// Records that a process has responded.
-    pub fn record_response(&mut self, process: &Holder, now: Duration) {
+    pub fn record_response(&mut self, process: &ProcessId, now: Duration) {
         let link = self.links.entry(process.clone()).or_default();
         link.responded_at = Some(now);
         link.unanswered_since = None;
     }
 
     /// Returns the time since the last response of a process, in milliseconds.
-    pub fn response_age_ms(&self, process: &Holder, now: Duration) -> Option<u64> {
+    pub fn response_age_ms(&self, process: &ProcessId, now: Duration) -> Option<u64> {
         if *process == self.own_process {
             return Some(0);
         }
--- a/coordination/src/gateway/limits/message.rs
+++ b/coordination/src/gateway/limits/message.rs
@@ -3,7 +3,7 @@
 use rosebend_state::deployment::CustomerName;
 use serde::{Deserialize, Serialize};
 
-use crate::gateway::ledger::Holder;
+use crate::gateway::ledger::ProcessId;
 use crate::gateway::limits::Group;
 
 /// Message of a host to an allocator: its report and its quota requests.
@@ -11,10 +11,10 @@
 #[derive(Deserialize, Serialize)]
 pub struct AllocatorRequest {
     /// Process that sends the request.
-    pub from: Holder,
+    pub from: ProcessId,
     /// Process to which the request is addressed; another process of the same host
     /// does not respond.
-    pub to: Holder,
+    pub to: ProcessId,
     /// Number of the request, which increases with each request of a process.
     pub number: u64,
     /// Groups of customers for which the sender uses the recipient as their
@@ -59,9 +59,9 @@
 #[derive(Deserialize, Serialize)]
 pub struct AllocatorResponse {
     /// Process that sends the response.
-    pub from: Holder,
+    pub from: ProcessId,
     /// Process that sent the request.
-    pub to: Holder,
+    pub to: ProcessId,
     /// Number of the request.
     pub number: u64,
     /// Grants for the customers of the request.
--- a/coordination/tests/escrow_sim/mod.rs
+++ b/coordination/tests/escrow_sim/mod.rs
@@ -17,7 +17,7 @@
 use rosebend_coordination::gateway::pending_changes::{Answer, Change, Outcome, PendingChanges};
 use rosebend_state::deployment::{Condition, RowId, RowWrite, Transaction};
 
-use crate::change_support::{MOST, PROGRAM, Store, settle};
+use crate::change_support::{MAX_OUTPUT_TOKENS, PROGRAM, Store, settle};
 
 /// Table of the slot rows.
 const TABLE: &str = "gateways";
@@ -401,7 +401,7 @@
     pub fn start_turn(&mut self, host: usize) -> bool {
         self.started_turns += 1;
         let attempt = format!("t{}", self.started_turns);
-        let escrow = EscrowTerms::new(true, MOST, self.budget);
+        let escrow = EscrowTerms::new(true, MAX_OUTPUT_TOKENS, self.budget);
         let mut turn = Turn {
             attempt,
             permit: Permit::Reserved,
@@ -421,12 +421,12 @@
         true
     }
 
-    fn reserve(&mut self, host: usize, turn: &Turn, gone: Vec<String>) -> u64 {
+    fn reserve(&mut self, host: usize, turn: &Turn, dead_processes: Vec<String>) -> u64 {
         let change = Change::Reserve {
             attempt: turn.attempt.clone(),
-            most_tokens: MOST,
+            max_output_tokens: MAX_OUTPUT_TOKENS,
             budget_tokens: self.budget,
-            gone,
+            dead_processes,
             escrow: turn.escrow.clone(),
         };
         let changes = &mut self.hosts[host].changes;
@@ -437,14 +437,14 @@
         let request = GrantRequest {
             grant: grant.to_owned(),
             tokens,
-            most_tokens: MOST,
+            most_tokens: MAX_OUTPUT_TOKENS,
             budget_tokens: self.budget,
         };
         Ask::Program(PROGRAM.to_owned(), ProgramAsk::Grant(request))
     }
 
     fn request_grant(&mut self, host: usize, attempt: &str) -> Option<Permit> {
-        let tokens = first_grant_tokens(MOST);
+        let tokens = first_grant_tokens(MAX_OUTPUT_TOKENS);
         for slot in Self::slots_of_program() {
             let grant = format!("g-{attempt}-{}", slot.index);
             let request = self.grant_request(&grant, tokens);
@@ -461,7 +461,7 @@
             return false;
         };
         let total_tokens = turn.tokens + tokens;
-        if total_tokens > MOST {
+        if total_tokens > MAX_OUTPUT_TOKENS {
             return false;
         }
         let permit = match turn.permit {
@@ -524,7 +524,7 @@
             } else {
                 Answer::NotKnown
             };
-            completed.extend(host.changes.answered(received));
+            completed.extend(host.changes.handle_answer(received));
         }
         for (id, outcome) in completed {
             self.complete_change(index, id, outcome);
@@ -569,8 +569,8 @@
         turn.has_retried = true;
         let (version, ledger) = (self.store.ledger_version(), self.store.ledger());
         let changes = &mut self.hosts[index].changes;
-        changes.learn(PROGRAM, version, ledger);
-        let holdings = changes.holdings(PROGRAM);
+        changes.cache(PROGRAM, version, ledger);
+        let holdings = changes.reservations_by_process(PROGRAM);
         let mut answers = CloseReplies::default();
         for slot in Self::slots_of_program() {
             let claim = self.hosts[index].slots.claim_if_unowned(&slot);
@@ -584,7 +584,7 @@
         }
         turn.escrow = turn.escrow.with_close_replies(&answers);
         let processes: Vec<&String> = self.hosts.iter().map(|host| &host.process).collect();
-        let gone = holdings.into_iter().map(|holding| holding.holder);
+        let gone = holdings.into_iter().map(|holding| holding.process);
         let gone = gone.filter(|holder| !processes.contains(&holder)).collect();
         turn.permit = Permit::Pending(self.reserve(index, &turn, gone));
         self.hosts[index].turns.insert(position, turn);
@@ -604,7 +604,7 @@
             return false;
         }
         self.flush(host);
-        let tokens = MOST / 4;
+        let tokens = MAX_OUTPUT_TOKENS / 4;
         let is_served = self.emit_tokens(host, tokens);
         self.end_turn(host);
         self.flush(host);
@@ -620,7 +620,7 @@
                 return;
             }
             self.flush(host);
-            while self.emit_tokens(host, MOST / 4) {}
+            while self.emit_tokens(host, MAX_OUTPUT_TOKENS / 4) {}
             self.end_turn(host);
             self.flush(host);
             if self.emitted_tokens == before {
--- a/coordination/tests/gateway_escrow.rs
+++ b/coordination/tests/gateway_escrow.rs
@@ -9,7 +9,7 @@
 
 use std::time::Duration;
 
-use change_support::MOST;
+use change_support::MAX_OUTPUT_TOKENS;
 use escrow_sim::Simulation;
 use proptest::prelude::*;
 use rosebend_coordination::gateway::escrow::accounts::{Accounts, CloseOutcome, GrantRequest};
@@ -47,7 +47,7 @@
     let host = 0..HOSTS;
     prop_oneof![
         6 => host.clone().prop_map(Step::StartTurn),
-        8 => (host.clone(), 1..=MOST / 2).prop_map(|(host, tokens)| Step::EmitTokens(host, tokens)),
+        8 => (host.clone(), 1..=MAX_OUTPUT_TOKENS / 2).prop_map(|(host, tokens)| Step::EmitTokens(host, tokens)),
         3 => host.clone().prop_map(Step::SpendAll),
         4 => host.clone().prop_map(Step::EndTurn),
         6 => host.clone().prop_map(Step::Send),
@@ -104,20 +104,20 @@
 
     #[test]
     fn outages_and_crashes_overspend_at_most_one_turn(
-        budget in MOST..9 * MOST,
+        budget in MAX_OUTPUT_TOKENS..9 * MAX_OUTPUT_TOKENS,
         steps in prop::collection::vec(step(), 1..160),
     ) {
         let mut simulation = Simulation::new(HOSTS, budget);
         for step in steps {
             apply_step(&mut simulation, &step);
             let emitted_tokens = simulation.emitted_tokens;
-            prop_assert!(emitted_tokens <= budget + MOST, "{emitted_tokens} of {budget}");
+            prop_assert!(emitted_tokens <= budget + MAX_OUTPUT_TOKENS, "{emitted_tokens} of {budget}");
         }
     }
 
     #[test]
     fn outages_without_deaths_or_isolation_do_not_overspend(
-        budget in MOST..9 * MOST,
+        budget in MAX_OUTPUT_TOKENS..9 * MAX_OUTPUT_TOKENS,
         steps in prop::collection::vec(step(), 1..160),
     ) {
         let mut simulation = Simulation::new(HOSTS, budget);
@@ -134,7 +134,7 @@
 
     #[test]
     fn granted_tokens_are_in_the_ledger_after_the_outage(
-        budget in 3 * MOST..9 * MOST,
+        budget in 3 * MAX_OUTPUT_TOKENS..9 * MAX_OUTPUT_TOKENS,
         turns in 1..6_usize,
     ) {
         let mut simulation = Simulation::new(HOSTS, budget);
@@ -142,7 +142,7 @@
         let mut emitted_tokens = 0;
         for turn in 0..turns {
             if simulation.serve_turn(turn % HOSTS) {
-                emitted_tokens += MOST / 4;
+                emitted_tokens += MAX_OUTPUT_TOKENS / 4;
             }
         }
         simulation.is_store_up = true;
@@ -156,7 +156,7 @@
     let served: Vec<usize> = [2, 3, 4, 6, 8]
         .into_iter()
         .map(|turns_of_budget| {
-            let mut simulation = Simulation::new(HOSTS, turns_of_budget * MOST);
+            let mut simulation = Simulation::new(HOSTS, turns_of_budget * MAX_OUTPUT_TOKENS);
             simulation.is_store_up = false;
             (0..12)
                 .filter(|turn| simulation.serve_turn(turn % HOSTS))
@@ -168,7 +168,7 @@
 
 #[test]
 fn a_planned_stop_in_an_outage_transfers_the_slots() {
-    let mut simulation = Simulation::new(HOSTS, 4 * MOST);
+    let mut simulation = Simulation::new(HOSTS, 4 * MAX_OUTPUT_TOKENS);
     simulation.is_store_up = false;
     assert!(simulation.serve_turn(0));
     for host in 0..HOSTS - 1 {
@@ -180,11 +180,11 @@
 
 #[test]
 fn a_planned_stop_preserves_closures() {
-    let budget = 4 * MOST;
+    let budget = 4 * MAX_OUTPUT_TOKENS;
     let mut simulation = Simulation::new(HOSTS, budget);
     simulation.spend_all(0);
     assert!(
-        simulation.emitted_tokens + MOST > budget,
+        simulation.emitted_tokens + MAX_OUTPUT_TOKENS > budget,
         "{}",
         simulation.emitted_tokens
     );
@@ -201,8 +201,8 @@
 /// name a stopped host as its successor.
 #[test]
 fn planned_stops_one_after_the_other_leave_no_slot_to_a_host_that_is_gone() {
-    let budget = 8 * MOST;
-    let quarter = MOST / 4;
+    let budget = 8 * MAX_OUTPUT_TOKENS;
+    let quarter = MAX_OUTPUT_TOKENS / 4;
     let mut simulation = Simulation::new(HOSTS, budget);
     (0..HOSTS).for_each(|host| simulation.stop(host));
     (0..HOSTS).for_each(|host| simulation.read_tables(host));
@@ -211,13 +211,13 @@
     let served = (0..60)
         .filter(|turn| simulation.serve_turn(turn % HOSTS))
         .count();
-    assert_eq!(served as u64, (budget - MOST) / quarter + 1);
+    assert_eq!(served as u64, (budget - MAX_OUTPUT_TOKENS) / quarter + 1);
 }
 
 #[test]
 fn the_other_slot_grants_after_the_death_of_one_owner() {
     for killed in 0..HOSTS {
-        let mut simulation = Simulation::new(HOSTS, 4 * MOST);
+        let mut simulation = Simulation::new(HOSTS, 4 * MAX_OUTPUT_TOKENS);
         simulation.is_store_up = false;
         simulation.kill(killed);
         let host = (killed + 1) % HOSTS;
@@ -228,10 +228,10 @@
 #[test]
 fn the_whole_budget_is_available_without_an_outage() {
     for turns_of_budget in 1..9 {
-        let budget = turns_of_budget * MOST;
+        let budget = turns_of_budget * MAX_OUTPUT_TOKENS;
         let mut simulation = Simulation::new(HOSTS, budget);
-        let quarter = MOST / 4;
-        let expected = (budget - MOST) / quarter + 1;
+        let quarter = MAX_OUTPUT_TOKENS / 4;
+        let expected = (budget - MAX_OUTPUT_TOKENS) / quarter + 1;
         let served = (0..60)
             .filter(|turn| simulation.serve_turn(turn % HOSTS))
             .count();
@@ -243,7 +243,7 @@
 fn a_crash_of_all_hosts_leaves_budget_for_a_few_turns() {
     let served: Vec<usize> = (3..9)
         .map(|turns_of_budget| {
-            let mut simulation = Simulation::new(HOSTS, turns_of_budget * MOST);
+            let mut simulation = Simulation::new(HOSTS, turns_of_budget * MAX_OUTPUT_TOKENS);
             (0..HOSTS).for_each(|host| simulation.kill(host));
             (0..HOSTS).for_each(|host| simulation.read_tables(host));
             (0..60)
@@ -259,7 +259,7 @@
 #[test]
 fn deaths_of_all_owners_that_hold_off_cost_no_budget() {
     for turns_of_budget in 1..9 {
-        let budget = turns_of_budget * MOST;
+        let budget = turns_of_budget * MAX_OUTPUT_TOKENS;
         let mut simulation = Simulation::new(HOSTS, budget);
         let mut served = 0;
         for _ in 0..4 {
@@ -274,8 +274,8 @@
         served += (0..60)
             .filter(|turn| simulation.serve_turn(turn % HOSTS))
             .count();
-        let quarter = MOST / 4;
-        let expected = (budget - MOST) / quarter + 1;
+        let quarter = MAX_OUTPUT_TOKENS / 4;
+        let expected = (budget - MAX_OUTPUT_TOKENS) / quarter + 1;
         assert_eq!(served as u64, expected, "budget of {turns_of_budget}");
     }
 }
@@ -284,7 +284,7 @@
 /// stop, but before they released their slots.
 #[test]
 fn deaths_of_stopping_owners_cost_no_budget() {
-    let budget = 8 * MOST;
+    let budget = 8 * MAX_OUTPUT_TOKENS;
     let mut simulation = Simulation::new(HOSTS, budget);
     (0..HOSTS).for_each(|host| simulation.renew_hold_off(host));
     simulation.now += Duration::from_millis(1_200);
@@ -296,14 +296,17 @@
     let served = (0..60)
         .filter(|turn| simulation.serve_turn(turn % HOSTS))
         .count();
-    assert_eq!(served as u64, (budget - MOST) / (MOST / 4) + 1);
+    assert_eq!(
+        served as u64,
+        (budget - MAX_OUTPUT_TOKENS) / (MAX_OUTPUT_TOKENS / 4) + 1
+    );
 }
 
 /// Checks that turns are served in an outage that begins soon after all hosts were
 /// killed and replaced, once the new owners' hold-off has ended.
 #[test]
 fn turns_are_served_in_an_outage_after_the_death_of_all_owners() {
-    let mut simulation = Simulation::new(HOSTS, 4 * MOST);
+    let mut simulation = Simulation::new(HOSTS, 4 * MAX_OUTPUT_TOKENS);
     (0..HOSTS).for_each(|host| simulation.renew_hold_off(host));
     simulation.now += Duration::from_secs(1);
     (0..HOSTS).for_each(|host| simulation.kill(host));
@@ -322,7 +325,7 @@
 /// owners of the slots are not, and that these grants count after the owners' deaths.
 #[test]
 fn a_grant_request_ends_the_hold_off() {
-    let budget = 4 * MOST;
+    let budget = 4 * MAX_OUTPUT_TOKENS;
     let mut simulation = Simulation::new(HOSTS, budget);
     (0..HOSTS).for_each(|host| simulation.renew_hold_off(host));
     assert!(!simulation.request_offline_grant(0), "the owners hold off");
@@ -336,18 +339,18 @@
     simulation.spend_all(0);
     let emitted_tokens = simulation.emitted_tokens;
     assert!(
-        emitted_tokens <= budget + MOST,
+        emitted_tokens <= budget + MAX_OUTPUT_TOKENS,
         "{emitted_tokens} of {budget}"
     );
 }
 
 #[test]
 fn a_death_preserves_closures() {
-    let budget = 4 * MOST;
+    let budget = 4 * MAX_OUTPUT_TOKENS;
     let mut simulation = Simulation::new(HOSTS, budget);
     simulation.spend_all(0);
     assert!(
-        simulation.emitted_tokens + MOST > budget,
+        simulation.emitted_tokens + MAX_OUTPUT_TOKENS > budget,
         "{}",
         simulation.emitted_tokens
     );
@@ -362,7 +365,7 @@
 /// processes must not take over their slots at once.
 #[test]
 fn a_death_after_the_hold_off_leaves_the_slots_without_an_owner() {
-    let mut simulation = Simulation::new(HOSTS, 4 * MOST);
+    let mut simulation = Simulation::new(HOSTS, 4 * MAX_OUTPUT_TOKENS);
     (0..HOSTS).for_each(|host| simulation.renew_hold_off(host));
     simulation.now += HOLD_OFF + Duration::from_millis(1);
     (0..HOSTS).for_each(|host| simulation.kill(host));
@@ -375,12 +378,12 @@
 /// before the grants are in the ledger.
 #[test]
 fn an_owner_with_unsettled_grants_does_not_hold_off() {
-    let budget = 4 * MOST;
+    let budget = 4 * MAX_OUTPUT_TOKENS;
     let mut simulation = Simulation::new(HOSTS, budget);
     simulation.is_store_up = false;
     simulation.spend_all(0);
     assert!(
-        simulation.emitted_tokens > MOST,
+        simulation.emitted_tokens > MAX_OUTPUT_TOKENS,
         "{}",
         simulation.emitted_tokens
     );
@@ -392,7 +395,7 @@
     simulation.spend_all(0);
     let emitted_tokens = simulation.emitted_tokens;
     assert!(
-        emitted_tokens <= budget + MOST,
+        emitted_tokens <= budget + MAX_OUTPUT_TOKENS,
         "{emitted_tokens} of {budget}"
     );
 }
@@ -402,9 +405,9 @@
 /// next owner has read from the ledgers which programs are closed.
 #[test]
 fn a_reservation_based_on_a_dead_owner_s_closure_is_not_written() {
-    let budget = 4 * MOST;
+    let budget = 4 * MAX_OUTPUT_TOKENS;
     let mut simulation = Simulation::new(HOSTS, budget);
-    while simulation.spent_in_ledger() + 2 * MOST <= budget {
+    while simulation.spent_in_ledger() + 2 * MAX_OUTPUT_TOKENS <= budget {
         assert!(simulation.serve_turn(0));
     }
     (0..HOSTS).for_each(|host| simulation.renew_hold_off(host));
@@ -421,9 +424,9 @@
 
 #[test]
 fn the_remaining_budget_is_available_after_an_outage() {
-    let budget = 8 * MOST;
+    let budget = 8 * MAX_OUTPUT_TOKENS;
     let mut simulation = Simulation::new(HOSTS, budget);
-    let quarter = MOST / 4;
+    let quarter = MAX_OUTPUT_TOKENS / 4;
     simulation.is_store_up = false;
     let in_outage = (0..6)
         .filter(|turn| simulation.serve_turn(turn % HOSTS))
@@ -433,7 +436,7 @@
     let after = (0..60)
         .filter(|turn| simulation.serve_turn(turn % HOSTS))
         .count();
-    let expected = (budget - MOST) / quarter + 1;
+    let expected = (budget - MAX_OUTPUT_TOKENS) / quarter + 1;
     assert_eq!((in_outage + after) as u64, expected);
 }
 
@@ -443,19 +446,25 @@
     let request = |grant: &str, tokens| GrantRequest {
         grant: grant.to_owned(),
         tokens,
-        most_tokens: MOST,
-        budget_tokens: 8 * MOST,
+        most_tokens: MAX_OUTPUT_TOKENS,
+        budget_tokens: 8 * MAX_OUTPUT_TOKENS,
     };
-    assert!(accounts.grant("p", &request("g", MOST)));
-    assert!(accounts.grant("p", &request("g", MOST)), "asked again");
-    assert_eq!(accounts.close("p"), CloseOutcome::Outstanding(MOST));
+    assert!(accounts.grant("p", &request("g", MAX_OUTPUT_TOKENS)));
+    assert!(
+        accounts.grant("p", &request("g", MAX_OUTPUT_TOKENS)),
+        "asked again"
+    );
+    assert_eq!(
+        accounts.close("p"),
+        CloseOutcome::Outstanding(MAX_OUTPUT_TOKENS)
+    );
     assert!(!accounts.grant("p", &request("h", 1)));
     accounts.report("p", "g", 70);
     assert_eq!(accounts.close("p"), CloseOutcome::Outstanding(70));
     accounts.settle("p", "g");
     assert_eq!(accounts.close("p"), CloseOutcome::Closed);
     assert!(!accounts.grant("p", &request("i", 1)));
-    assert!(accounts.grant("other", &request("j", MOST)));
+    assert!(accounts.grant("other", &request("j", MAX_OUTPUT_TOKENS)));
 }
 
 #[test]
--- a/gateway/src/commits.rs
+++ b/gateway/src/commits.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use rosebend_coordination::gateway::history::partition_of;
-use rosebend_coordination::gateway::ledger::{Account, Holder, Holding, Ledger};
+use rosebend_coordination::gateway::ledger::{Account, Ledger, ProcessId, ProcessReservations};
 use rosebend_coordination::gateway::pending_changes::{
     Answer, Change, ChangeId, Outcome, PendingChanges,
 };
@@ -40,7 +40,7 @@
 #[derive(Debug)]
 pub struct Commits {
     /// This run of the process, under which turns reserve tokens.
-    holder: Holder,
+    holder: ProcessId,
     store: Rc<StoreClient>,
     joined: Rc<JoinedCommits>,
     partitions: RefCell<HashMap<String, Partition>>,
@@ -48,7 +48,7 @@
 
 impl Commits {
     /// No changes yet. The holder tells in ledgers whose turns run.
-    pub fn new(holder: Holder, store: Rc<StoreClient>, joined: Rc<JoinedCommits>) -> Self {
+    pub fn new(holder: ProcessId, store: Rc<StoreClient>, joined: Rc<JoinedCommits>) -> Self {
         Self {
             holder,
             store,
@@ -123,37 +123,37 @@
 
     /// Takes note of a ledger that was read.
     pub fn learn(&self, program: &str, version: RowVersion, ledger: Ledger) {
-        self.with_changes(program, |changes| changes.learn(program, version, ledger));
+        self.with_changes(program, |changes| changes.cache(program, version, ledger));
     }
 
     /// The program's ledger as it was last read or written here, as a row.
     pub fn known_ledger(&self, program: &str) -> Option<Row> {
-        self.with_changes(program, |changes| changes.known_ledger(program))
+        self.with_changes(program, |changes| changes.cached_ledger_row(program))
     }
 
     /// Version of the program's ledger as it was last read or written here.
     pub fn version(&self, program: &str) -> RowVersion {
-        self.with_changes(program, |changes| changes.version(program))
+        self.with_changes(program, |changes| changes.cached_version(program))
     }
 
     /// Forgets a program; its ledger is read again when it is needed.
     pub fn forget(&self, program: &str) {
-        self.with_changes(program, |changes| changes.forget(program));
+        self.with_changes(program, |changes| changes.evict(program));
     }
 
     /// Whether the program's ledger was read or written by this host.
     pub fn knows(&self, program: &str) -> bool {
-        self.with_changes(program, |changes| changes.knows(program))
+        self.with_changes(program, |changes| changes.has_cached_ledger(program))
     }
 
     /// This run of the process.
-    pub fn holder(&self) -> &Holder {
+    pub fn holder(&self) -> &ProcessId {
         &self.holder
     }
 
     /// Who holds tokens of a program, as far as this host knows.
-    pub fn holdings(&self, program: &str) -> Vec<Holding> {
-        self.with_changes(program, |changes| changes.holdings(program))
+    pub fn holdings(&self, program: &str) -> Vec<ProcessReservations> {
+        self.with_changes(program, |changes| changes.reservations_by_process(program))
     }
 
     /// Whether a turn that has tokens runs here.
@@ -164,7 +164,7 @@
     /// Whether the budget seems to hold a turn, as far as this host knows.
     pub fn seems_to_hold(&self, program: &str, most_tokens: u64, budget_tokens: u64) -> bool {
         self.with_changes(program, |changes| {
-            changes.seems_to_hold(program, most_tokens, budget_tokens)
+            changes.is_expected_to_fit(program, most_tokens, budget_tokens)
         })
     }
 
@@ -229,14 +229,14 @@
     fn answered(&self, name: &str, answer: Answer) {
         let mut partitions = self.partitions.borrow_mut();
         if let Some(partition) = partitions.get_mut(name) {
-            let ended = partition.changes.answered(answer);
+            let ended = partition.changes.handle_answer(answer);
             partition.tell(ended);
         }
     }
 }
 
 impl Partition {
-    fn new(holder: &Holder) -> Self {
+    fn new(holder: &ProcessId) -> Self {
         Self {
             changes: PendingChanges::new(holder.clone()),
             waiters: HashMap::new(),
--- a/gateway/src/recall.rs
+++ b/gateway/src/recall.rs
@@ -15,7 +15,7 @@
 use futures_util::future::try_join_all;
 use http::{Method, Request};
 use http_body_util::{BodyExt, Full, Limited};
-use rosebend_coordination::gateway::ledger::{Holder, Holding};
+use rosebend_coordination::gateway::ledger::{ProcessId, ProcessReservations};
 use rosebend_state::deployment::{AttemptId, ProgramKey, RowVersion};
 use rosebend_transport::connection::{Connection, ConnectionError};
 use rosebend_transport::event::{Event, EventKind, log_event};
@@ -40,7 +40,7 @@
 #[derive(Deserialize, Serialize)]
 struct Question {
     program: ProgramKey,
-    holder: Holder,
+    holder: ProcessId,
     /// Turns that have a reservation.
     turns: Vec<AttemptId>,
 }
@@ -49,7 +49,7 @@
 #[derive(Deserialize, Serialize)]
 struct Statement {
     /// The process that answers.
-    holder: Holder,
+    holder: ProcessId,
     /// Those of the turns that still run.
     running: Vec<AttemptId>,
 }
@@ -80,7 +80,7 @@
 #[derive(Debug, Default)]
 pub struct Recalled {
     /// Holders that are gone, whose tokens a turn may have if it needs them.
-    pub gone: Vec<Holder>,
+    pub gone: Vec<ProcessId>,
     /// Whether a turn that has ended is about to be settled.
     pub is_settling: bool,
     /// Version of the ledger whose holders were asked.
@@ -110,9 +110,9 @@
     };
     let mut words = Vec::new();
     for (holding, found) in holdings.into_iter().zip(found) {
-        words.push(format!("{}:{}", holding.holder, found.word()));
+        words.push(format!("{}:{}", holding.process, found.word()));
         match found {
-            Found::Gone => recalled.gone.push(holding.holder),
+            Found::Gone => recalled.gone.push(holding.process),
             Found::Held { is_settling } => recalled.is_settling |= is_settling,
         }
     }
@@ -124,36 +124,40 @@
     Ok(recalled)
 }
 
-async fn ask(gateway: &Gateway, program: &ProgramKey, holding: &Holding) -> Result<Found, Refusal> {
+async fn ask(
+    gateway: &Gateway,
+    program: &ProgramKey,
+    holding: &ProcessReservations,
+) -> Result<Found, Refusal> {
     let question = Question {
         program: program.clone(),
-        holder: holding.holder.clone(),
+        holder: holding.process.clone(),
         turns: holding.turns.clone(),
     };
-    if holding.holder == *gateway.commits.holder() {
+    if holding.process == *gateway.commits.holder() {
         return Ok(found(holding, &state(gateway, &question)));
     }
-    let Some(address) = address_of(gateway, &holding.holder).await? else {
+    let Some(address) = address_of(gateway, &holding.process).await? else {
         return Ok(Found::Gone);
     };
     let asking = tokio::time::timeout(ANSWER_TIMEOUT, send(address, &question));
     let statement = match asking.await {
         Ok(Ok(statement)) => Some(statement),
         Ok(Err(error)) => {
-            log_event(&unanswered(&holding.holder).error(&error));
+            log_event(&unanswered(&holding.process).error(&error));
             None
         }
         Err(error) => {
-            log_event(&unanswered(&holding.holder).error(&error));
+            log_event(&unanswered(&holding.process).error(&error));
             None
         }
     };
-    let statement = statement.filter(|statement| statement.holder == holding.holder);
+    let statement = statement.filter(|statement| statement.holder == holding.process);
     Ok(statement.map_or(Found::Gone, |statement| found(holding, &statement)))
 }
 
 /// Where a holder answers. Only the store tells that a run is not there any more.
-async fn address_of(gateway: &Gateway, holder: &Holder) -> Result<Option<SocketAddr>, Refusal> {
+async fn address_of(gateway: &Gateway, holder: &ProcessId) -> Result<Option<SocketAddr>, Refusal> {
     if let Some(address) = gateway.holders.get(holder) {
         return Ok(Some(address));
     }
@@ -165,12 +169,12 @@
     Ok(found)
 }
 
-fn unanswered(holder: &Holder) -> Event {
+fn unanswered(holder: &ProcessId) -> Event {
     Event::new(EventKind::HolderSilent).holders(holder)
 }
 
 /// What a statement says of a holding.
-fn found(holding: &Holding, statement: &Statement) -> Found {
+fn found(holding: &ProcessReservations, statement: &Statement) -> Found {
     Found::Held {
         is_settling: holding.turns.len() > statement.running.len(),
     }
