--- a/coordination/src/gateway/directory.rs
+++ b/coordination/src/gateway/directory.rs
@@ -1,8 +1,15 @@
-//! The endpoints that are there, and the choice among them.
+//! The known endpoints of all services, and the selection of one of them for a
+//! request.
 //!
-//! - `listing`: which endpoints there are, and which start of each.
-//! - `endpoint`: what is known of one of them.
-//! - `cost`: what a request costs there.
+//! A gateway estimates for each endpoint of a service how much longer a request
+//! would take there, in milliseconds, and selects the endpoint with the lowest
+//! estimate. The estimate uses the gateway's own in-flight requests, the load
+//! reports and latencies of the endpoint, its failures, and its availability
+//! zone.
+//!
+//! - `listing`: the set of listed endpoints and the current incarnation of each.
+//! - `endpoint`: the state that is kept for one endpoint.
+//! - `cost`: the cost estimate of a request at an endpoint.
 
 use std::collections::{HashMap, HashSet, VecDeque};
 use std::net::SocketAddr;
@@ -17,91 +24,97 @@
 mod endpoint;
 mod listing;
 
-pub use self::listing::Listing;
+pub use self::listing::ListingChange;
 
 use self::endpoint::{Endpoint, ReportedLoad, smooth};
-use self::listing::Gone;
-
-/// First time for which an endpoint that failed is avoided; it doubles with
-/// each failure in a row.
-const FIRST_AVOIDANCE: Duration = Duration::from_millis(300);
-/// Longest time for which an endpoint that failed is avoided.
-const MAX_AVOIDANCE: Duration = Duration::from_millis(2_400);
-/// Latency ratio below which endpoints count as equally fast: work varies from
-/// request to request by more than that.
-const NOTABLE_SLOWNESS: f64 = 1.6;
-/// Weight of a new outcome in the share of failures; about the last seven count.
+use self::listing::RemovedEndpoint;
+
+/// Backoff after the first failure of an endpoint. It doubles with each further
+/// consecutive failure.
+const MIN_BACKOFF: Duration = Duration::from_millis(300);
+/// Longest backoff after a failure of an endpoint.
+const MAX_BACKOFF: Duration = Duration::from_millis(2_400);
+/// Ratio of an endpoint's latency to its service's latency below which the
+/// endpoint does not count as slow. The work of single requests already varies by
+/// more than this ratio.
+const SLOW_LATENCY_RATIO: f64 = 1.6;
+/// Weight of a new outcome in the smoothed failure rate. It averages over about
+/// the last seven outcomes.
 const FAILURE_WEIGHT: f64 = 0.15;
-/// Weight of a failure that a peer tells of.
-const OVERHEARD_WEIGHT: f64 = 0.08;
-/// Failures that are kept to be told to peers.
+/// Weight in the smoothed failure rate of a failure that a peer gateway reports.
+const PEER_FAILURE_WEIGHT: f64 = 0.08;
+/// Maximum number of recent failures that are kept for reporting to peers.
 const MAX_RECENT_FAILURES: usize = 64;
 
-/// What a request wants from its endpoint.
+/// The properties of a request on which the selection of its endpoint depends.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Wish<'a> {
-    /// The endpoint that has the request's prompt or object in memory.
-    pub warm: Option<&'a EndpointIdentity>,
-    /// Prompt tokens that every other endpoint has to read.
+pub struct EndpointQuery<'a> {
+    /// The endpoint that has the request's prompt or object in memory, if any.
+    pub warm_endpoint: Option<&'a EndpointIdentity>,
+    /// Number of prompt tokens that every other endpoint would have to process
+    /// anew.
     pub warm_tokens: u64,
-    /// Whether the request is a turn at a model engine.
+    /// True if the request is a turn at a model engine.
     pub is_turn: bool,
-    /// Endpoints that were asked already.
-    pub asked: &'a [EndpointIdentity],
-    /// What the request is about, to spread choices.
-    pub subject: &'a str,
+    /// Endpoints at which the request was already tried. They are not selected
+    /// again.
+    pub tried: &'a [EndpointIdentity],
+    /// Text that is hashed with each endpoint's id into the jitter of its cost, so
+    /// that requests are spread over endpoints of similar cost.
+    pub jitter_key: &'a str,
 }
 
-/// A chosen endpoint, with what decided.
+/// A selected endpoint and the load data behind the selection.
 #[derive(Clone, Copy, Debug)]
-pub struct Choice<'a> {
-    /// The endpoint.
+pub struct Selection<'a> {
+    /// Entry of the selected endpoint.
     pub record: &'a EndpointRecord,
-    /// Requests that it was expected to have.
+    /// Estimated number of requests at the endpoint, this one not included.
     pub expected_load: u64,
-    /// Age of the load that it last told; none when it has told none.
+    /// Age of the endpoint's last load report; `None` if there was no report.
     pub report_age: Option<Duration>,
 }
 
-/// The endpoints of all services, as this host knows them.
+/// This gateway's view of the endpoints of all services.
 #[derive(Debug)]
 pub struct Directory {
     availability_zone: AvailabilityZone,
-    /// The latest start of each endpoint.
+    /// Current incarnation of each endpoint.
     endpoints: HashMap<InstanceId, Endpoint>,
-    /// Endpoints whose entry was gone less than [`listing::LATE_WRITE_TIME`] ago.
-    gone: HashMap<InstanceId, Gone>,
-    /// Services that operators have declared; none before they were read.
+    /// Endpoints that were removed less than `listing::STALE_WRITE_WINDOW` ago.
+    removed: HashMap<InstanceId, RemovedEndpoint>,
+    /// Services that operators have declared; `None` until they have been read.
     services: Option<HashSet<ServiceName>>,
     /// Smoothed latency of each service in milliseconds.
     service_latency_ms: HashMap<ServiceName, f64>,
-    /// Failures that this host saw itself, the newest last.
+    /// Failures that this gateway observed itself and their times, the newest last.
     recent_failures: VecDeque<(EndpointIdentity, Duration)>,
 }
 
 impl Directory {
-    /// An empty directory of a host in an availability zone.
+    /// Creates an empty directory for a gateway in an availability zone.
     pub fn new(availability_zone: AvailabilityZone) -> Self {
         Self {
             availability_zone,
             endpoints: HashMap::new(),
-            gone: HashMap::new(),
+            removed: HashMap::new(),
             services: None,
             service_latency_ms: HashMap::new(),
             recent_failures: VecDeque::new(),
         }
     }
 
-    /// Number of endpoints that are given requests.
+    /// Returns the number of endpoints that accept requests and belong to a
+    /// declared service.
     pub fn len(&self) -> usize {
         let is_used = |endpoint: &&Endpoint| {
-            endpoint.takes_requests() && self.is_declared(&endpoint.record.service)
+            endpoint.accepts_requests() && self.is_declared(&endpoint.record.service)
         };
         self.endpoints.values().filter(is_used).count()
     }
 
-    /// Takes the names of the services that operators have declared.
-    pub fn declare(&mut self, services: impl IntoIterator<Item = ServiceName>) {
+    /// Replaces the set of services that operators have declared.
+    pub fn set_declared_services(&mut self, services: impl IntoIterator<Item = ServiceName>) {
         self.services = Some(services.into_iter().collect());
     }
 
@@ -110,8 +123,8 @@
         services.is_none_or(|services| services.contains(service))
     }
 
-    /// Endpoints of services that nobody has declared; no route leads to them.
-    pub fn undeclared(&self) -> Vec<InstanceId> {
+    /// Returns the endpoints of undeclared services. No route leads to them.
+    pub fn undeclared_endpoints(&self) -> Vec<InstanceId> {
         let endpoints = self.endpoints.values().map(|endpoint| &endpoint.record);
         let undeclared = endpoints.filter(|record| !self.is_declared(&record.service));
         undeclared
@@ -119,136 +132,157 @@
             .collect()
     }
 
-    /// Whether no endpoint is given requests.
+    /// Returns true if no endpoint of a declared service accepts requests.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// Whether any start of an endpoint is listed.
+    /// Returns true if the endpoint is listed, whichever its incarnation.
     pub fn is_listed(&self, instance: &str) -> bool {
         self.endpoints.contains_key(instance)
     }
 
-    /// Whether this start is still listed.
+    /// Returns true if this incarnation of the endpoint is listed.
     pub fn contains(&self, identity: &EndpointIdentity) -> bool {
-        self.start(identity).is_some()
+        self.incarnation(identity).is_some()
     }
 
-    /// Whether a later start of the endpoint is listed.
-    pub fn has_started_again(&self, identity: &EndpointIdentity) -> bool {
-        let known = self.endpoints.get(&identity.instance);
-        known.is_some_and(|known| identity.is_before(&known.record.identity))
+    /// Returns true if a later incarnation of the endpoint is listed.
+    pub fn has_restarted(&self, identity: &EndpointIdentity) -> bool {
+        let current = self.endpoints.get(&identity.instance);
+        current.is_some_and(|current| identity.is_before(&current.record.identity))
     }
 
-    /// Where a start listens, while it is listed.
+    /// Returns the address of an incarnation, if it is listed.
     pub fn address(&self, identity: &EndpointIdentity) -> Option<SocketAddr> {
-        self.start(identity).map(|endpoint| endpoint.record.address)
+        self.incarnation(identity)
+            .map(|endpoint| endpoint.record.address)
     }
 
-    /// What is known of a start; nothing when another one is listed.
-    fn start(&self, identity: &EndpointIdentity) -> Option<&Endpoint> {
-        let known = self.endpoints.get(&identity.instance);
-        known.filter(|known| known.record.identity == *identity)
+    /// Returns the state of an incarnation, or `None` if it is not the listed one.
+    fn incarnation(&self, identity: &EndpointIdentity) -> Option<&Endpoint> {
+        let current = self.endpoints.get(&identity.instance);
+        current.filter(|current| current.record.identity == *identity)
     }
 
-    fn start_mut(&mut self, identity: &EndpointIdentity) -> Option<&mut Endpoint> {
-        let known = self.endpoints.get_mut(&identity.instance);
-        known.filter(|known| known.record.identity == *identity)
+    /// Like [`Self::incarnation`], but returns a mutable reference.
+    fn incarnation_mut(&mut self, identity: &EndpointIdentity) -> Option<&mut Endpoint> {
+        let current = self.endpoints.get_mut(&identity.instance);
+        current.filter(|current| current.record.identity == *identity)
     }
 
-    /// Chooses an endpoint of a service, or none when all were asked or leave.
-    /// `is_connected` tells whether an idle connection to a start is open.
-    pub fn choose(
+    /// Selects the endpoint of a service with the lowest cost. Returns `None` if
+    /// every endpoint was already tried or accepts no requests. `is_connected`
+    /// returns true if an idle connection to an incarnation is open.
+    pub fn select(
         &self,
         service: &str,
-        wish: Wish<'_>,
+        query: EndpointQuery<'_>,
         now: Duration,
         is_connected: impl Fn(&EndpointIdentity) -> bool,
-    ) -> Option<Choice<'_>> {
+    ) -> Option<Selection<'_>> {
         let is_candidate = |endpoint: &&Endpoint| {
             endpoint.record.service == service
-                && endpoint.takes_requests()
-                && !wish.asked.contains(&endpoint.record.identity)
+                && endpoint.accepts_requests()
+                && !query.tried.contains(&endpoint.record.identity)
         };
         let candidates = self.endpoints.values().filter(is_candidate);
         let costs = candidates.map(|endpoint| {
             let has_connection = is_connected(&endpoint.record.identity);
-            (self.cost_ms(endpoint, wish, has_connection, now), endpoint)
+            (self.cost_ms(endpoint, query, has_connection, now), endpoint)
         });
         let best = costs.min_by(|a, b| a.0.total_cmp(&b.0));
-        best.map(|(_, endpoint)| endpoint.choice(now))
+        best.map(|(_, endpoint)| endpoint.selection(now))
     }
 
-    /// How many times slower than its service an endpoint is; 1 when alike.
-    fn slowness(&self, endpoint: &Endpoint) -> f64 {
+    /// Returns the ratio of an endpoint's latency to the latency of its service,
+    /// or 1 if the endpoint is not notably slower or there is no sample.
+    fn relative_latency(&self, endpoint: &Endpoint) -> f64 {
         let service = self.service_latency_ms.get(&endpoint.record.service);
         let service_ms = service.copied().unwrap_or(0.0);
         if service_ms <= 0.0 || endpoint.latency_ms <= 0.0 {
             return 1.0;
         }
         let ratio = endpoint.latency_ms / service_ms;
-        if ratio < NOTABLE_SLOWNESS { 1.0 } else { ratio }
+        if ratio < SLOW_LATENCY_RATIO {
+            1.0
+        } else {
+            ratio
+        }
     }
 
-    /// Notes that a request was given to an endpoint.
-    pub fn begin(&mut self, identity: &EndpointIdentity) {
-        if let Some(endpoint) = self.start_mut(identity) {
+    /// Counts a request that this gateway starts at an endpoint.
+    pub fn record_request_start(&mut self, identity: &EndpointIdentity) {
+        if let Some(endpoint) = self.incarnation_mut(identity) {
             endpoint.in_flight += 1;
         }
     }
 
-    /// Notes that an endpoint is done with a request.
-    pub fn end(&mut self, identity: &EndpointIdentity) {
-        if let Some(endpoint) = self.start_mut(identity) {
+    /// Removes a request that has ended from the in-flight requests of an endpoint.
+    pub fn record_request_end(&mut self, identity: &EndpointIdentity) {
+        if let Some(endpoint) = self.incarnation_mut(identity) {
             endpoint.in_flight = endpoint.in_flight.saturating_sub(1);
         }
     }
 
-    /// Takes the load that an endpoint told.
-    pub fn report(&mut self, identity: &EndpointIdentity, load: EndpointLoad, now: Duration) {
-        if let Some(endpoint) = self.start_mut(identity) {
-            endpoint.note_load(load, now, true);
+    /// Records a load report that an endpoint sent to this gateway.
+    pub fn record_report(
+        &mut self,
+        identity: &EndpointIdentity,
+        load: EndpointLoad,
+        now: Duration,
+    ) {
+        if let Some(endpoint) = self.incarnation_mut(identity) {
+            endpoint.set_report(load, now, true);
         }
     }
 
-    /// Takes a load that another host heard at a time, unless a newer one is
-    /// known.
-    pub fn overhear(&mut self, identity: &EndpointIdentity, load: EndpointLoad, at: Duration) {
-        let Some(endpoint) = self.start_mut(identity) else {
+    /// Records a load report that a peer gateway received at time `at`, unless a
+    /// report at least as new is present.
+    pub fn record_peer_report(
+        &mut self,
+        identity: &EndpointIdentity,
+        load: EndpointLoad,
+        at: Duration,
+    ) {
+        let Some(endpoint) = self.incarnation_mut(identity) else {
             return;
         };
         if endpoint.load.is_none_or(|report| report.at < at) {
-            endpoint.note_load(load, at, false);
+            endpoint.set_report(load, at, false);
         }
     }
 
-    /// Loads that this host heard itself since a time.
-    pub fn heard_since(
+    /// Returns the load reports that this gateway received from endpoints since a
+    /// time. Reports of peers are not included.
+    pub fn reports_since(
         &self,
         since: Duration,
     ) -> impl Iterator<Item = (&EndpointIdentity, EndpointLoad, Duration)> {
         let reports = self.endpoints.values();
         let reports =
             reports.filter_map(|endpoint| Some((&endpoint.record.identity, endpoint.load?)));
-        let is_news = move |report: &ReportedLoad| report.is_first_hand && report.at >= since;
+        let is_recent_and_direct =
+            move |report: &ReportedLoad| report.is_direct && report.at >= since;
         reports
-            .filter(move |(_, report)| is_news(report))
+            .filter(move |(_, report)| is_recent_and_direct(report))
             .map(|(identity, report)| (identity, report.load, report.at))
     }
 
-    /// Notes that an endpoint answered, after a latency where one was measured.
-    pub fn answered(
+    /// Records a response of an endpoint, and its latency if one was measured.
+    /// The response ends the endpoint's backoff.
+    pub fn record_response(
         &mut self,
         identity: &EndpointIdentity,
         latency: Option<Duration>,
         now: Duration,
     ) {
-        let Some(endpoint) = self.start_mut(identity) else {
+        let Some(endpoint) = self.incarnation_mut(identity) else {
             return;
         };
-        endpoint.failures = 0;
-        endpoint.note_outcome(0.0, FAILURE_WEIGHT, now);
-        endpoint.avoided_until = Duration::ZERO;
+        endpoint.consecutive_failures = 0;
+        endpoint.record_outcome(0.0, FAILURE_WEIGHT, now);
+        endpoint.backoff_until = Duration::ZERO;
         let Some(latency) = latency else {
             return;
         };
@@ -261,46 +295,53 @@
         );
     }
 
-    /// Notes that an endpoint failed or could not be reached. Returns for how
-    /// long it is avoided now, if it is listed.
-    pub fn failed(&mut self, identity: &EndpointIdentity, now: Duration) -> Option<Duration> {
-        let endpoint = self.start_mut(identity)?;
-        let doubled = FIRST_AVOIDANCE * 2_u32.pow(endpoint.failures.min(8));
-        let avoided = doubled.min(MAX_AVOIDANCE);
-        endpoint.failures += 1;
-        endpoint.note_outcome(1.0, FAILURE_WEIGHT, now);
-        endpoint.avoided_until = now + avoided;
+    /// Records that an endpoint failed or was unreachable. Returns the backoff that
+    /// starts now, or `None` if this incarnation is not listed.
+    pub fn record_failure(
+        &mut self,
+        identity: &EndpointIdentity,
+        now: Duration,
+    ) -> Option<Duration> {
+        let endpoint = self.incarnation_mut(identity)?;
+        let doubled = MIN_BACKOFF * 2_u32.pow(endpoint.consecutive_failures.min(8));
+        let backoff = doubled.min(MAX_BACKOFF);
+        endpoint.consecutive_failures += 1;
+        endpoint.record_outcome(1.0, FAILURE_WEIGHT, now);
+        endpoint.backoff_until = now + backoff;
         self.recent_failures.push_back((identity.clone(), now));
         if self.recent_failures.len() > MAX_RECENT_FAILURES {
             self.recent_failures.pop_front();
         }
-        Some(avoided)
+        Some(backoff)
     }
 
-    /// Takes a failure that a peer saw.
-    pub fn overhear_failure(&mut self, identity: &EndpointIdentity, now: Duration) {
-        if let Some(endpoint) = self.start_mut(identity) {
-            endpoint.note_outcome(1.0, OVERHEARD_WEIGHT, now);
+    /// Records a failure that a peer gateway observed. It raises the failure rate
+    /// but starts no backoff.
+    pub fn record_peer_failure(&mut self, identity: &EndpointIdentity, now: Duration) {
+        if let Some(endpoint) = self.incarnation_mut(identity) {
+            endpoint.record_outcome(1.0, PEER_FAILURE_WEIGHT, now);
         }
     }
 
-    /// Endpoints that failed this host since a time, once for each failure.
-    pub fn failed_since(&self, since: Duration) -> impl Iterator<Item = &EndpointIdentity> {
+    /// Returns the endpoints for which this gateway recorded a failure since a
+    /// time, once for each failure.
+    pub fn failures_since(&self, since: Duration) -> impl Iterator<Item = &EndpointIdentity> {
         let failures = self.recent_failures.iter();
         let recent = failures.filter(move |(_, at)| *at >= since);
         recent.map(|(identity, _)| identity)
     }
 
-    /// Notes that an endpoint refused a request for lack of room.
-    pub fn full(&mut self, identity: &EndpointIdentity, now: Duration) {
-        if let Some(endpoint) = self.start_mut(identity) {
+    /// Records that an endpoint rejected a request for lack of capacity. This
+    /// counts as a load report with all slots occupied and as many requests waiting.
+    pub fn record_rejection(&mut self, identity: &EndpointIdentity, now: Duration) {
+        if let Some(endpoint) = self.incarnation_mut(identity) {
             let slots = endpoint.record.slots;
             let load = EndpointLoad {
                 running: slots,
                 waiting: slots,
                 slots,
             };
-            endpoint.note_load(load, now, true);
+            endpoint.set_report(load, now, true);
         }
     }
 }
--- a/coordination/src/gateway/directory/endpoint.rs
+++ b/coordination/src/gateway/directory/endpoint.rs
@@ -1,144 +1,165 @@
-//! What is known of one endpoint.
+//! The state that a gateway keeps for one endpoint.
 
 use std::time::Duration;
 
 use rosebend_state::deployment::{EndpointLoad, EndpointRecord};
 
-use super::{Choice, Listing};
+use super::{ListingChange, Selection};
 
-/// How old a reported load may be before nothing is concluded from it.
-const LOAD_MEMORY: Duration = Duration::from_millis(1_500);
-/// Weight of a new sample of latency; about the last eight count.
-const SAMPLE_WEIGHT: f64 = 0.12;
-/// Time in which a share of failures halves without a new outcome, so that an
-/// endpoint that has recovered is tried again.
+/// Age at which a load report no longer counts. Until then its weight falls
+/// linearly.
+const MAX_REPORT_AGE: Duration = Duration::from_millis(1_500);
+/// Weight of a new latency sample in the smoothed latency. It averages over about
+/// the last eight samples.
+const LATENCY_WEIGHT: f64 = 0.12;
+/// Time in which the failure rate halves if there is no new outcome, so that an
+/// endpoint that has recovered is selected again.
 const FAILURE_HALF_LIFE: Duration = Duration::from_secs(4);
 
-/// What is known of one start of an endpoint.
+/// The state of one incarnation of an endpoint.
 #[derive(Clone, Debug)]
 pub(super) struct Endpoint {
+    /// The endpoint's latest entry.
     pub(super) record: EndpointRecord,
-    /// Requests of this host that it has now.
+    /// Number of in-flight requests of this gateway at the endpoint.
     pub(super) in_flight: u32,
+    /// Latest load report, from the endpoint or from a peer gateway.
     pub(super) load: Option<ReportedLoad>,
-    /// Until when it is avoided, after failures.
-    pub(super) avoided_until: Duration,
-    /// Failures in a row.
-    pub(super) failures: u32,
+    /// End of the backoff after failures; zero if there is none.
+    pub(super) backoff_until: Duration,
+    /// Number of failures since the last response.
+    pub(super) consecutive_failures: u32,
     /// Smoothed latency in milliseconds; zero before the first sample.
     pub(super) latency_ms: f64,
-    /// Smoothed share of requests that failed, as of `failure_at`.
-    pub(super) failure_share: f64,
-    pub(super) failure_at: Duration,
-    /// Set while its entry is missing after an outage of the store.
-    pub(super) lapsed_until: Option<Duration>,
-    /// Until when it is slow after its start.
-    pub(super) warm_at: Duration,
-    /// Set while its entry cannot be read: it gets nothing new then, and what
-    /// is believed of it is kept for when its entry is good again.
-    pub(super) is_refused: bool,
-    /// The entry of an earlier start that came after those of this one, and when.
-    pub(super) earlier: Option<(EndpointRecord, Duration)>,
+    /// Smoothed share of failed requests, between 0 and 1, as of `failure_rate_at`.
+    pub(super) failure_rate: f64,
+    /// Time of the last update of `failure_rate`.
+    pub(super) failure_rate_at: Duration,
+    /// Time at which the endpoint is dropped; set while its entry is missing after
+    /// an outage of the store.
+    pub(super) lapse_deadline: Option<Duration>,
+    /// End of the period after its start in which the endpoint is slow.
+    pub(super) warmed_up_at: Duration,
+    /// True while the endpoint's entry is invalid. The endpoint receives no new
+    /// requests then, but its state is kept for the time when the entry is valid
+    /// again.
+    pub(super) has_invalid_entry: bool,
+    /// Entry of an earlier incarnation that arrived after an entry of this one, and
+    /// the time at which the first such entry arrived.
+    pub(super) older_incarnation: Option<(EndpointRecord, Duration)>,
 }
 
-/// A load, and who told it when.
+/// A load report and its origin.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ReportedLoad {
+    /// The reported load.
     pub(super) load: EndpointLoad,
+    /// Time at which this gateway or the peer received the report.
     pub(super) at: Duration,
-    /// Requests of this host that it had when it reported.
-    pub(super) own: u32,
-    /// Whether this host heard it itself.
-    pub(super) is_first_hand: bool,
+    /// Number of in-flight requests of this gateway at the endpoint when the report
+    /// was recorded. They are assumed to be part of the reported load.
+    pub(super) own_in_flight: u32,
+    /// True if this gateway received the report from the endpoint, false if a peer
+    /// gateway forwarded it.
+    pub(super) is_direct: bool,
 }
 
 impl Endpoint {
-    /// A start of which nothing is known but its entry.
+    /// Creates the state of an incarnation for which there are no reports or
+    /// outcomes yet.
     pub(super) fn new(record: EndpointRecord, now: Duration) -> Self {
         Self {
-            warm_at: now.saturating_add(record.warming_up),
+            warmed_up_at: now.saturating_add(record.warming_up),
             record,
             in_flight: 0,
             load: None,
-            avoided_until: Duration::ZERO,
-            failures: 0,
+            backoff_until: Duration::ZERO,
+            consecutive_failures: 0,
             latency_ms: 0.0,
-            failure_share: 0.0,
-            failure_at: now,
-            lapsed_until: None,
-            is_refused: false,
-            earlier: None,
+            failure_rate: 0.0,
+            failure_rate_at: now,
+            lapse_deadline: None,
+            has_invalid_entry: false,
+            older_incarnation: None,
         }
     }
 
-    /// Takes another entry of the same start.
-    pub(super) fn renew(&mut self, record: EndpointRecord) -> Option<Listing> {
+    /// Replaces the entry by a newer one of the same incarnation. Returns
+    /// [`ListingChange::Draining`] if the endpoint starts to drain.
+    pub(super) fn update_record(&mut self, record: EndpointRecord) -> Option<ListingChange> {
         let began_to_drain = record.draining && !self.record.draining;
         self.record = record;
-        self.lapsed_until = None;
-        self.is_refused = false;
-        began_to_drain.then_some(Listing::Draining)
+        self.lapse_deadline = None;
+        self.has_invalid_entry = false;
+        began_to_drain.then_some(ListingChange::Draining)
     }
 
-    /// Whether it may get something new.
-    pub(super) fn takes_requests(&self) -> bool {
-        !self.record.draining && !self.is_refused
+    /// Returns true if new requests may be sent to the endpoint.
+    pub(super) fn accepts_requests(&self) -> bool {
+        !self.record.draining && !self.has_invalid_entry
     }
 
-    /// Takes a load that this host heard itself, or a peer.
-    pub(super) fn note_load(&mut self, load: EndpointLoad, at: Duration, is_first_hand: bool) {
+    /// Replaces the load report. `is_direct` is true if the endpoint sent it to this
+    /// gateway, false if a peer forwarded it.
+    pub(super) fn set_report(&mut self, load: EndpointLoad, at: Duration, is_direct: bool) {
         self.load = Some(ReportedLoad {
             load,
             at,
-            own: self.in_flight,
-            is_first_hand,
+            own_in_flight: self.in_flight,
+            is_direct,
         });
     }
 
-    /// Share of its requests that failed lately.
-    pub(super) fn failure_share(&self, now: Duration) -> f64 {
-        let age = now.saturating_sub(self.failure_at);
+    /// Returns the failure rate at time `now`, after its decay since the last
+    /// outcome.
+    pub(super) fn failure_rate(&self, now: Duration) -> f64 {
+        let age = now.saturating_sub(self.failure_rate_at);
         let half_lives = age.as_secs_f64() / FAILURE_HALF_LIFE.as_secs_f64();
-        self.failure_share * 0.5_f64.powf(half_lives)
+        self.failure_rate * 0.5_f64.powf(half_lives)
     }
 
-    pub(super) fn note_outcome(&mut self, sample: f64, weight: f64, now: Duration) {
-        let share = self.failure_share(now);
-        self.failure_share = share + (sample - share) * weight;
-        self.failure_at = now;
+    /// Adds an outcome to the failure rate: 1 for a failure, 0 for a response.
+    pub(super) fn record_outcome(&mut self, sample: f64, weight: f64, now: Duration) {
+        let rate = self.failure_rate(now);
+        self.failure_rate = rate + (sample - rate) * weight;
+        self.failure_rate_at = now;
     }
 
-    pub(super) fn choice(&self, now: Duration) -> Choice<'_> {
-        Choice {
+    /// Returns the endpoint as the result of a selection.
+    pub(super) fn selection(&self, now: Duration) -> Selection<'_> {
+        Selection {
             record: &self.record,
             expected_load: self.expected_load(now) as u64,
             report_age: self.load.map(|report| now.saturating_sub(report.at)),
         }
     }
 
-    /// Requests that it has now, as far as this host can tell: its own, and
-    /// those of others by the last report, which fades with its age.
+    /// Estimates the number of requests at the endpoint: the in-flight requests of
+    /// this gateway, plus those of other gateways according to the last load report,
+    /// whose weight falls with its age.
     pub(super) fn expected_load(&self, now: Duration) -> f64 {
-        let own = f64::from(self.in_flight);
+        let own_in_flight = f64::from(self.in_flight);
         let Some(report) = self.load else {
-            return own;
+            return own_in_flight;
         };
         let age = now.saturating_sub(report.at);
-        let Some(left) = LOAD_MEMORY.checked_sub(age) else {
-            return own;
+        let Some(remaining) = MAX_REPORT_AGE.checked_sub(age) else {
+            return own_in_flight;
         };
-        // Any number may stand in an answer or in a peer's datagram.
+        // A response or a peer's datagram may contain any numbers, so the sum must
+        // not overflow.
         let total = report.load.running.saturating_add(report.load.waiting);
-        let others = f64::from(total.saturating_sub(report.own));
-        own + others * left.as_secs_f64() / LOAD_MEMORY.as_secs_f64()
+        let others = f64::from(total.saturating_sub(report.own_in_flight));
+        own_in_flight + others * remaining.as_secs_f64() / MAX_REPORT_AGE.as_secs_f64()
     }
 }
 
-/// Moves a smoothed value towards a sample; the first sample sets it.
+/// Updates an exponential moving average with a sample. The first sample sets the
+/// value.
 pub(super) fn smooth(value: &mut f64, sample: f64) {
     if *value <= 0.0 {
         *value = sample;
     } else {
-        *value += (sample - *value) * SAMPLE_WEIGHT;
+        *value += (sample - *value) * LATENCY_WEIGHT;
     }
 }
--- a/coordination/src/gateway/directory/listing.rs
+++ b/coordination/src/gateway/directory/listing.rs
@@ -1,4 +1,8 @@
-//! Which endpoints there are, and which start of each.
+//! The set of listed endpoints and the current incarnation of each.
+//!
+//! The set follows the entries of endpoints in the store. Entries may arrive late
+//! and out of order, and they expire in an outage of the store, so an entry or a
+//! deletion does not always take effect at once.
 
 use std::time::Duration;
 
@@ -7,187 +11,201 @@
 use super::Directory;
 use super::endpoint::Endpoint;
 
-/// How long an entry that vanished in an outage of the store is kept: entries
-/// that lapsed meanwhile are back about two seconds after the store.
-const LAPSE_GRACE: Duration = Duration::from_millis(2_200);
-/// How long entries of an earlier start may come after those of a later one: a
-/// write whose answer was lost may take effect up to six seconds late. An
-/// earlier start that comes for longer is the one that lives, on a host whose
-/// clock was set back.
-const LATE_WRITE_TIME: Duration = Duration::from_secs(7);
+/// Time for which an endpoint is kept whose entry expired in an outage of the store.
+/// Such entries are written again about two seconds after the store has recovered.
+const LAPSE_GRACE_PERIOD: Duration = Duration::from_millis(2_200);
+/// Time for which an entry of an earlier incarnation counts as a late write if it
+/// arrives after one of a later incarnation: a write whose response was lost may
+/// take effect up to six seconds late. If the entry persists for longer, its
+/// incarnation is the running one, on a host whose clock was set back.
+const STALE_WRITE_WINDOW: Duration = Duration::from_secs(7);
 
-/// An endpoint whose entry is gone.
+/// A removed endpoint, kept to detect late entries of earlier incarnations.
 #[derive(Clone, Debug)]
-pub(super) struct Gone {
-    /// When its last start was.
+pub(super) struct RemovedEndpoint {
+    /// Start time of its last listed incarnation.
     started_ms: Option<u64>,
-    /// When its entry was gone.
+    /// Time of its removal.
     at: Duration,
-    /// The entry of an earlier start that came since.
-    earlier: Option<EndpointRecord>,
+    /// Entry of an earlier incarnation that arrived after the removal.
+    older_incarnation: Option<EndpointRecord>,
 }
 
-/// How an endpoint's place in the directory changed.
+/// A change of an endpoint's listing in the directory.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Listing {
-    /// It is new.
-    Listed,
-    /// It started again: nothing that was believed of it holds any more.
-    StartedAgain,
-    /// It gets nothing new, since it drains.
+pub enum ListingChange {
+    /// The endpoint was not listed before.
+    Added,
+    /// A new incarnation replaces the listed one, whose state is discarded.
+    Restarted,
+    /// The endpoint receives no new requests because it drains.
     Draining,
-    /// It gets nothing new, since its entry is gone.
-    Gone,
+    /// The endpoint receives no new requests because its entry was deleted.
+    Removed,
 }
 
 impl Directory {
-    /// Takes an entry that was written or read. Tells what changed for the
-    /// choice, if anything did. An entry of a start before the one that is
-    /// known came late and changes nothing.
-    pub fn announce(&mut self, record: EndpointRecord, now: Duration) -> Option<Listing> {
-        if self.came_late(&record, now) {
+    /// Applies an entry that was written or read. Returns the resulting change of
+    /// the listing, if any. A late entry of an earlier incarnation than the listed
+    /// one changes nothing.
+    pub fn apply_entry(&mut self, record: EndpointRecord, now: Duration) -> Option<ListingChange> {
+        if self.defer_if_stale(&record, now) {
             return None;
         }
         let instance = record.identity.instance.clone();
-        self.gone.remove(&instance);
-        let known = self.endpoints.get_mut(&instance);
-        let is_again = known.is_some();
-        if let Some(endpoint) = known.filter(|known| known.record.identity == record.identity) {
-            return endpoint.renew(record);
+        self.removed.remove(&instance);
+        let current = self.endpoints.get_mut(&instance);
+        let is_restart = current.is_some();
+        if let Some(endpoint) = current.filter(|current| current.record.identity == record.identity)
+        {
+            return endpoint.update_record(record);
         }
         self.endpoints.insert(instance, Endpoint::new(record, now));
-        match is_again {
-            true => Some(Listing::StartedAgain),
-            false => Some(Listing::Listed),
+        match is_restart {
+            true => Some(ListingChange::Restarted),
+            false => Some(ListingChange::Added),
         }
     }
 
-    /// Whether an entry is of a start that is over. It is kept, for the case that no
-    /// entry of the later start comes any more.
-    fn came_late(&mut self, record: &EndpointRecord, now: Duration) -> bool {
+    /// Returns true if an entry appears to be a late write of an incarnation that has
+    /// ended. The entry is kept for the case that no further entry of the later
+    /// incarnation arrives.
+    fn defer_if_stale(&mut self, record: &EndpointRecord, now: Duration) -> bool {
         let identity = &record.identity;
-        if let Some(known) = self.endpoints.get_mut(&identity.instance) {
-            if !identity.is_before(&known.record.identity) {
-                known.earlier = None;
+        if let Some(current) = self.endpoints.get_mut(&identity.instance) {
+            if !identity.is_before(&current.record.identity) {
+                current.older_incarnation = None;
                 return false;
             }
-            let earlier = known.earlier.take();
-            let since = earlier.map_or(now, |(_, since)| since);
-            known.earlier = Some((record.clone(), since));
-            return now.saturating_sub(since) < LATE_WRITE_TIME;
+            let older_incarnation = current.older_incarnation.take();
+            let since = older_incarnation.map_or(now, |(_, since)| since);
+            current.older_incarnation = Some((record.clone(), since));
+            return now.saturating_sub(since) < STALE_WRITE_WINDOW;
         }
-        let Some(gone) = self.gone.get_mut(&identity.instance) else {
+        let Some(removed) = self.removed.get_mut(&identity.instance) else {
             return false;
         };
-        let is_late =
-            identity.started_ms < gone.started_ms && now.saturating_sub(gone.at) < LATE_WRITE_TIME;
-        gone.earlier = is_late.then(|| record.clone());
-        is_late
+        let is_stale = identity.started_ms < removed.started_ms
+            && now.saturating_sub(removed.at) < STALE_WRITE_WINDOW;
+        removed.older_incarnation = is_stale.then(|| record.clone());
+        is_stale
     }
 
-    /// Lists earlier starts whose entries have stayed for too long to be late writes,
-    /// and tells what changed. Not every host hears each heartbeat.
-    pub fn list_earlier(&mut self, now: Duration) -> Vec<(InstanceId, Listing)> {
-        let is_due = |since: Duration| now.saturating_sub(since) >= LATE_WRITE_TIME;
-        let known = self.endpoints.values();
-        let known = known.filter_map(|known| known.earlier.as_ref());
-        let known = known.filter(|(_, since)| is_due(*since));
-        let gone = self.gone.values().filter(|gone| is_due(gone.at));
-        let gone = gone.filter_map(|gone| gone.earlier.as_ref());
-        let due = known.map(|(record, _)| record).chain(gone);
+    /// Lists earlier incarnations whose entries have persisted for too long to be
+    /// late writes, and returns the changes. The check runs periodically because not
+    /// every gateway receives each heartbeat.
+    pub fn adopt_older_incarnations(&mut self, now: Duration) -> Vec<(InstanceId, ListingChange)> {
+        let is_due = |since: Duration| now.saturating_sub(since) >= STALE_WRITE_WINDOW;
+        let listed = self.endpoints.values();
+        let listed = listed.filter_map(|listed| listed.older_incarnation.as_ref());
+        let listed = listed.filter(|(_, since)| is_due(*since));
+        let removed = self.removed.values().filter(|removed| is_due(removed.at));
+        let removed = removed.filter_map(|removed| removed.older_incarnation.as_ref());
+        let due = listed.map(|(record, _)| record).chain(removed);
         let due: Vec<EndpointRecord> = due.cloned().collect();
         let mut changes = Vec::new();
         for record in due {
             let instance = record.identity.instance.clone();
-            let change = self.announce(record, now);
+            let change = self.apply_entry(record, now);
             changes.extend(change.map(|change| (instance, change)));
         }
         changes
     }
 
-    /// Takes the deletion of an entry. One that vanished in an outage of the
-    /// store may come back; it is kept for a while.
-    pub fn withdraw(&mut self, instance: &str, now: Duration, in_outage: bool) -> Option<Listing> {
-        if let Some(gone) = self.gone.get_mut(instance) {
-            gone.earlier = None;
+    /// Applies the deletion of an entry. An endpoint whose entry disappeared in an
+    /// outage of the store is kept for a grace period, because its entry may be
+    /// written again.
+    pub fn apply_deletion(
+        &mut self,
+        instance: &str,
+        now: Duration,
+        in_outage: bool,
+    ) -> Option<ListingChange> {
+        if let Some(removed) = self.removed.get_mut(instance) {
+            removed.older_incarnation = None;
         }
         let endpoint = self.endpoints.get_mut(instance)?;
-        endpoint.earlier = None;
+        endpoint.older_incarnation = None;
         if in_outage && !endpoint.record.draining {
-            let until = now + LAPSE_GRACE;
-            endpoint.lapsed_until.get_or_insert(until);
+            let until = now + LAPSE_GRACE_PERIOD;
+            endpoint.lapse_deadline.get_or_insert(until);
             return None;
         }
         self.remove(instance, now);
-        Some(Listing::Gone)
+        Some(ListingChange::Removed)
     }
 
+    /// Removes an endpoint and keeps its start time to detect late entries.
     fn remove(&mut self, instance: &str, now: Duration) {
         if let Some((instance, endpoint)) = self.endpoints.remove_entry(instance) {
             let started_ms = endpoint.record.identity.started_ms;
-            self.gone.insert(
+            self.removed.insert(
                 instance,
-                Gone {
+                RemovedEndpoint {
                     started_ms,
                     at: now,
-                    earlier: None,
+                    older_incarnation: None,
                 },
             );
         }
     }
 
-    /// Takes an entry that names no endpoint to use. One that was listed gets
-    /// nothing new until its entry is good again.
-    pub fn refuse(&mut self, instance: &str) {
+    /// Marks the entry of an endpoint as invalid. A listed endpoint receives no new
+    /// requests until its entry is valid again.
+    pub fn mark_invalid(&mut self, instance: &str) {
         if let Some(endpoint) = self.endpoints.get_mut(instance) {
-            endpoint.is_refused = true;
+            endpoint.has_invalid_entry = true;
         }
     }
 
-    /// Takes a whole list of entries, of which some are refused; others are
-    /// withdrawn. Tells what changed for the choice.
-    pub fn replace(
+    /// Applies the complete list of entries. Instances in `invalid` have an entry
+    /// that can't be used; listed endpoints without any entry are handled like
+    /// deleted ones. Returns the changes of the listing.
+    pub fn apply_snapshot(
         &mut self,
         records: Vec<EndpointRecord>,
-        refused: &[InstanceId],
+        invalid: &[InstanceId],
         now: Duration,
         in_outage: bool,
-    ) -> Vec<(InstanceId, Listing)> {
+    ) -> Vec<(InstanceId, ListingChange)> {
         let mut changes = Vec::new();
         let is_listed = |instance: &InstanceId| {
             let mut read = records.iter().map(|record| &record.identity.instance);
-            read.any(|read| read == instance) || refused.contains(instance)
+            read.any(|read| read == instance) || invalid.contains(instance)
         };
         let instances = self.endpoints.keys().cloned();
         let missing: Vec<InstanceId> = instances.filter(|instance| !is_listed(instance)).collect();
         for instance in missing {
-            let change = self.withdraw(&instance, now, in_outage);
+            let change = self.apply_deletion(&instance, now, in_outage);
             changes.extend(change.map(|change| (instance, change)));
         }
-        for instance in refused {
-            self.refuse(instance);
+        for instance in invalid {
+            self.mark_invalid(instance);
         }
         for record in records {
             let instance = record.identity.instance.clone();
-            let change = self.announce(record, now);
+            let change = self.apply_entry(record, now);
             changes.extend(change.map(|change| (instance, change)));
         }
         changes
     }
 
-    /// Drops entries that did not come back after an outage, and tells which.
+    /// Removes endpoints whose entries were not written again after an outage, and
+    /// returns their ids. It also drops the records of removed endpoints for which no
+    /// late entries are possible any more.
     pub fn expire(&mut self, now: Duration) -> Vec<InstanceId> {
-        let is_over = |endpoint: &Endpoint| endpoint.lapsed_until.is_some_and(|until| now >= until);
-        let over = self
+        let is_expired =
+            |endpoint: &Endpoint| endpoint.lapse_deadline.is_some_and(|until| now >= until);
+        let expired = self
             .endpoints
             .iter()
-            .filter(|(_, endpoint)| is_over(endpoint));
-        let over: Vec<InstanceId> = over.map(|(instance, _)| instance.clone()).collect();
-        for instance in &over {
+            .filter(|(_, endpoint)| is_expired(endpoint));
+        let expired: Vec<InstanceId> = expired.map(|(instance, _)| instance.clone()).collect();
+        for instance in &expired {
             self.remove(instance, now);
         }
-        self.gone
-            .retain(|_, gone| now.saturating_sub(gone.at) < LATE_WRITE_TIME);
-        over
+        self.removed
+            .retain(|_, removed| now.saturating_sub(removed.at) < STALE_WRITE_WINDOW);
+        expired
     }
 }
--- a/coordination/tests/gateway_starts.rs
+++ b/coordination/tests/gateway_starts.rs
@@ -1,9 +1,9 @@
-//! Endpoints that start again under the id that they had: what is believed of
-//! an endpoint belongs to one start.
+//! Endpoints that restart under the same id. The state that a gateway keeps for an
+//! endpoint belongs to one incarnation.
 
 use std::time::Duration;
 
-use rosebend_coordination::gateway::directory::{Directory, Listing, Wish};
+use rosebend_coordination::gateway::directory::{Directory, EndpointQuery, ListingChange};
 use rosebend_coordination::gateway::history::{StoredProgram, Turn};
 use rosebend_state::deployment::{EndpointIdentity, EndpointLoad, EndpointRecord, Row};
 
@@ -11,12 +11,12 @@
 const SOON: Duration = Duration::from_millis(100_400);
 const ZONE: &str = "newport-hall";
 
-/// A start of endpoint `a`.
-fn start(started_ms: u64) -> EndpointIdentity {
-    start_of("a", started_ms)
+/// Returns the identity of an incarnation of endpoint `a`.
+fn incarnation(started_ms: u64) -> EndpointIdentity {
+    incarnation_of("a", started_ms)
 }
 
-fn start_of(instance: &str, started_ms: u64) -> EndpointIdentity {
+fn incarnation_of(instance: &str, started_ms: u64) -> EndpointIdentity {
     EndpointIdentity {
         instance: instance.to_owned(),
         started_ms: Some(started_ms),
@@ -35,11 +35,11 @@
     }
 }
 
-/// A directory that knows this start of `a`, and `b`.
+/// Returns a directory that lists this incarnation of `a`, and `b`.
 fn directory(started_ms: u64) -> Directory {
     let mut directory = Directory::new(ZONE.to_owned());
-    directory.announce(record(start(started_ms)), NOW);
-    directory.announce(record(start_of("b", 1)), NOW);
+    directory.apply_entry(record(incarnation(started_ms)), NOW);
+    directory.apply_entry(record(incarnation_of("b", 1)), NOW);
     directory
 }
 
@@ -51,247 +51,269 @@
     }
 }
 
-/// How many of a hundred requests go to `a`.
-fn share(directory: &Directory, wish: Wish<'_>, now: Duration) -> usize {
+/// Returns how many of a hundred requests are sent to `a`.
+fn share(directory: &Directory, query: EndpointQuery<'_>, now: Duration) -> usize {
     let is_for_a = |number: &i32| {
-        let subject = format!("request-{number}");
-        let wish = Wish {
-            subject: &subject,
+        let jitter_key = format!("request-{number}");
+        let query = EndpointQuery {
+            jitter_key: &jitter_key,
             is_turn: true,
-            ..wish
+            ..query
         };
-        let choice = directory.choose("models", wish, now, |_| true);
-        choice.unwrap().record.identity.instance == "a"
+        let selection = directory.select("models", query, now, |_| true);
+        selection.unwrap().record.identity.instance == "a"
     };
     (0..100).filter(is_for_a).count()
 }
 
-/// The share of an endpoint of which nothing is known, beside another one.
-fn fresh_share() -> usize {
-    share(&directory(1), Wish::default(), NOW)
+/// Returns the share of a newly listed `a` while `b` is listed, too.
+fn initial_share() -> usize {
+    share(&directory(1), EndpointQuery::default(), NOW)
 }
 
-/// Makes a host believe the worst of a start.
-fn believe_the_worst(directory: &mut Directory, endpoint: &EndpointIdentity) {
+/// Records a high load, a high latency and many failures for an incarnation.
+fn record_bad_state(directory: &mut Directory, endpoint: &EndpointIdentity) {
     for _ in 0..20 {
-        directory.begin(endpoint);
-        directory.answered(endpoint, Some(Duration::from_secs(2)), NOW);
-        directory.answered(&start_of("b", 1), Some(Duration::from_millis(20)), NOW);
-        directory.failed(endpoint, NOW);
-        directory.overhear_failure(endpoint, NOW);
+        directory.record_request_start(endpoint);
+        directory.record_response(endpoint, Some(Duration::from_secs(2)), NOW);
+        directory.record_response(
+            &incarnation_of("b", 1),
+            Some(Duration::from_millis(20)),
+            NOW,
+        );
+        directory.record_failure(endpoint, NOW);
+        directory.record_peer_failure(endpoint, NOW);
     }
-    directory.full(endpoint, NOW);
+    directory.record_rejection(endpoint, NOW);
 }
 
 #[test]
-fn all_that_is_believed_of_a_start_goes_with_it() {
+fn a_restart_resets_the_state_of_an_endpoint() {
     let mut directory = directory(1);
-    believe_the_worst(&mut directory, &start(1));
-    directory.refuse("a");
-    assert_eq!(share(&directory, Wish::default(), SOON), 0);
+    record_bad_state(&mut directory, &incarnation(1));
+    directory.mark_invalid("a");
+    assert_eq!(share(&directory, EndpointQuery::default(), SOON), 0);
     assert_eq!(
-        directory.announce(record(start(2)), SOON),
-        Some(Listing::StartedAgain)
+        directory.apply_entry(record(incarnation(2)), SOON),
+        Some(ListingChange::Restarted)
     );
-    assert_eq!(share(&directory, Wish::default(), SOON), fresh_share());
-    assert!(directory.has_started_again(&start(1)));
-    assert!(!directory.contains(&start(1)) && directory.contains(&start(2)));
-    assert_eq!(directory.address(&start(1)), None);
-    assert_eq!(directory.heard_since(NOW).count(), 0);
+    assert_eq!(
+        share(&directory, EndpointQuery::default(), SOON),
+        initial_share()
+    );
+    assert!(directory.has_restarted(&incarnation(1)));
+    assert!(!directory.contains(&incarnation(1)) && directory.contains(&incarnation(2)));
+    assert_eq!(directory.address(&incarnation(1)), None);
+    assert_eq!(directory.reports_since(NOW).count(), 0);
 }
 
 #[test]
-fn what_ends_late_at_an_earlier_start_changes_nothing() {
+fn results_of_an_earlier_incarnation_change_nothing() {
     let mut directory = directory(1);
-    directory.begin(&start(1));
-    directory.announce(record(start(2)), NOW);
+    directory.record_request_start(&incarnation(1));
+    directory.apply_entry(record(incarnation(2)), NOW);
     for _ in 0..12 {
-        directory.begin(&start(2));
+        directory.record_request_start(&incarnation(2));
     }
-    assert_eq!(share(&directory, Wish::default(), SOON), 0);
-    // Requests of the earlier start come to their end, in every way.
+    assert_eq!(share(&directory, EndpointQuery::default(), SOON), 0);
+    // The requests of the earlier incarnation end, with each kind of result.
     for _ in 0..12 {
-        directory.end(&start(1));
-        directory.report(&start(1), load(0), SOON);
+        directory.record_request_end(&incarnation(1));
+        directory.record_report(&incarnation(1), load(0), SOON);
     }
-    assert_eq!(share(&directory, Wish::default(), SOON), 0);
+    assert_eq!(share(&directory, EndpointQuery::default(), SOON), 0);
     for _ in 0..12 {
-        directory.end(&start(2));
+        directory.record_request_end(&incarnation(2));
     }
-    believe_the_worst(&mut directory, &start(1));
-    assert_eq!(directory.failed(&start(1), SOON), None);
-    assert_eq!(directory.failed_since(NOW).count(), 0);
-    assert_eq!(share(&directory, Wish::default(), SOON), fresh_share());
+    record_bad_state(&mut directory, &incarnation(1));
+    assert_eq!(directory.record_failure(&incarnation(1), SOON), None);
+    assert_eq!(directory.failures_since(NOW).count(), 0);
+    assert_eq!(
+        share(&directory, EndpointQuery::default(), SOON),
+        initial_share()
+    );
 }
 
 #[test]
-fn a_prompt_that_an_earlier_start_had_is_warm_nowhere() {
+fn a_prompt_cached_by_an_earlier_incarnation_is_cached_nowhere() {
     let mut directory = directory(1);
-    directory.report(&start(1), load(2), NOW);
-    let first = start(1);
-    let wish = Wish {
-        warm: Some(&first),
+    directory.record_report(&incarnation(1), load(2), NOW);
+    let first = incarnation(1);
+    let query = EndpointQuery {
+        warm_endpoint: Some(&first),
         warm_tokens: 5_000,
-        ..Wish::default()
+        ..EndpointQuery::default()
     };
-    assert_eq!(share(&directory, wish, NOW), 100);
-    directory.announce(record(start(2)), NOW);
-    assert_eq!(share(&directory, wish, NOW), fresh_share());
+    assert_eq!(share(&directory, query, NOW), 100);
+    directory.apply_entry(record(incarnation(2)), NOW);
+    assert_eq!(share(&directory, query, NOW), initial_share());
 }
 
 #[test]
-fn a_start_that_was_asked_does_not_keep_the_next_from_being_asked() {
+fn a_tried_incarnation_does_not_exclude_the_next_one() {
     let mut directory = directory(1);
-    let asked = [start(1), start_of("b", 1)];
-    let wish = Wish {
-        asked: &asked,
-        ..Wish::default()
+    let tried = [incarnation(1), incarnation_of("b", 1)];
+    let query = EndpointQuery {
+        tried: &tried,
+        ..EndpointQuery::default()
     };
-    assert!(directory.choose("models", wish, NOW, |_| true).is_none());
-    directory.announce(record(start(2)), NOW);
-    let choice = directory.choose("models", wish, NOW, |_| true).unwrap();
-    assert_eq!(choice.record.identity, start(2));
+    assert!(directory.select("models", query, NOW, |_| true).is_none());
+    directory.apply_entry(record(incarnation(2)), NOW);
+    let selection = directory.select("models", query, NOW, |_| true).unwrap();
+    assert_eq!(selection.record.identity, incarnation(2));
 }
 
 #[test]
-fn an_entry_of_an_earlier_start_changes_nothing_unless_it_stays() {
-    // Of two starts within one heartbeat this host saw the second only.
+fn an_entry_of_an_earlier_incarnation_changes_nothing_unless_it_persists() {
+    // The endpoint restarted twice within one heartbeat interval, and this gateway
+    // received an entry of the later incarnation only.
     let mut directory = directory(3);
-    directory.report(&start(3), load(1), NOW);
+    directory.record_report(&incarnation(3), load(1), NOW);
     let draining = EndpointRecord {
         draining: true,
-        ..record(start(2))
+        ..record(incarnation(2))
     };
     for seconds in 0..7 {
         let now = NOW + Duration::from_secs(seconds);
-        assert_eq!(directory.announce(draining.clone(), now), None);
-        assert!(directory.contains(&start(3)) && directory.len() == 2);
+        assert_eq!(directory.apply_entry(draining.clone(), now), None);
+        assert!(directory.contains(&incarnation(3)) && directory.len() == 2);
     }
-    // The later one is heard of again: the others were late.
+    // A further entry of the later incarnation arrives, so the others were late.
     let later = NOW + Duration::from_secs(7);
-    directory.announce(record(start(3)), later);
-    assert_eq!(directory.announce(record(start(2)), later), None);
-    // An earlier start that alone is heard of is the one that lives.
-    let at_last = later + Duration::from_secs(7);
+    directory.apply_entry(record(incarnation(3)), later);
+    assert_eq!(directory.apply_entry(record(incarnation(2)), later), None);
+    // An earlier incarnation is the running one if only its entries still arrive.
+    let last = later + Duration::from_secs(7);
     assert_eq!(
-        directory.announce(record(start(2)), at_last),
-        Some(Listing::StartedAgain)
+        directory.apply_entry(record(incarnation(2)), last),
+        Some(ListingChange::Restarted)
     );
-    assert!(directory.contains(&start(2)));
+    assert!(directory.contains(&incarnation(2)));
 }
 
 #[test]
-fn an_earlier_start_whose_entry_is_heard_once_is_listed_when_it_stays() {
-    // A host that follows another one does not hear of heartbeats.
-    let mut known = directory(3);
-    let mut gone = directory(3);
-    gone.withdraw("a", NOW, false);
-    for directory in [&mut known, &mut gone] {
-        assert_eq!(directory.announce(record(start(2)), NOW), None);
+fn an_earlier_incarnation_whose_entry_is_received_once_is_listed_if_it_persists() {
+    // A gateway that reads the table from another host does not receive heartbeats.
+    let mut listed = directory(3);
+    let mut removed = directory(3);
+    removed.apply_deletion("a", NOW, false);
+    for directory in [&mut listed, &mut removed] {
+        assert_eq!(directory.apply_entry(record(incarnation(2)), NOW), None);
         let early = NOW + Duration::from_millis(6_900);
-        assert_eq!(directory.list_earlier(early), Vec::new());
-        assert!(!directory.contains(&start(2)));
+        assert_eq!(directory.adopt_older_incarnations(early), Vec::new());
+        assert!(!directory.contains(&incarnation(2)));
         let late = NOW + Duration::from_secs(7);
-        assert_eq!(directory.list_earlier(late).len(), 1);
-        assert!(directory.contains(&start(2)));
-        assert_eq!(directory.list_earlier(late), Vec::new());
+        assert_eq!(directory.adopt_older_incarnations(late).len(), 1);
+        assert!(directory.contains(&incarnation(2)));
+        assert_eq!(directory.adopt_older_incarnations(late), Vec::new());
     }
-    // The later start is heard of again, or the entry of the earlier one is gone.
-    let mut again = directory(3);
-    again.announce(record(start(2)), NOW);
-    again.announce(record(start(3)), SOON);
-    let mut gone = directory(3);
-    gone.withdraw("a", NOW, false);
-    gone.announce(record(start(2)), NOW);
-    gone.withdraw("a", SOON, false);
-    for directory in [&mut again, &mut gone] {
+    // A further entry of the later incarnation arrives, or the entry of the earlier
+    // one is deleted.
+    let mut confirmed = directory(3);
+    confirmed.apply_entry(record(incarnation(2)), NOW);
+    confirmed.apply_entry(record(incarnation(3)), SOON);
+    let mut removed = directory(3);
+    removed.apply_deletion("a", NOW, false);
+    removed.apply_entry(record(incarnation(2)), NOW);
+    removed.apply_deletion("a", SOON, false);
+    for directory in [&mut confirmed, &mut removed] {
         let late = NOW + Duration::from_secs(60);
-        assert_eq!(directory.list_earlier(late), Vec::new());
-        assert!(!directory.contains(&start(2)));
+        assert_eq!(directory.adopt_older_incarnations(late), Vec::new());
+        assert!(!directory.contains(&incarnation(2)));
     }
 }
 
 #[test]
-fn a_start_that_only_one_host_has_seen_is_no_news_to_another() {
-    let mut behind = directory(1);
-    behind.report(&start(1), load(4), NOW);
-    behind.overhear(&start(2), load(0), SOON);
-    behind.overhear_failure(&start(2), SOON);
-    assert_eq!(share(&behind, Wish::default(), SOON), 0);
-    let mut ahead = directory(2);
-    ahead.overhear(&start(1), load(8), SOON);
+fn peer_reports_on_an_incarnation_that_is_not_listed_are_ignored() {
+    let mut older = directory(1);
+    older.record_report(&incarnation(1), load(4), NOW);
+    older.record_peer_report(&incarnation(2), load(0), SOON);
+    older.record_peer_failure(&incarnation(2), SOON);
+    assert_eq!(share(&older, EndpointQuery::default(), SOON), 0);
+    let mut newer = directory(2);
+    newer.record_peer_report(&incarnation(1), load(8), SOON);
     for _ in 0..20 {
-        ahead.overhear_failure(&start(1), SOON);
+        newer.record_peer_failure(&incarnation(1), SOON);
     }
-    assert_eq!(share(&ahead, Wish::default(), SOON), fresh_share());
+    assert_eq!(
+        share(&newer, EndpointQuery::default(), SOON),
+        initial_share()
+    );
 }
 
 #[test]
-fn a_start_that_lapsed_in_an_outage_comes_back_as_it_was_and_a_new_one_does_not() {
-    let outage = |directory: &mut Directory| {
+fn an_endpoint_whose_entry_expired_in_an_outage_keeps_its_state_unless_it_restarted() {
+    let expire_in_outage = |directory: &mut Directory| {
         for _ in 0..12 {
-            directory.begin(&start(1));
+            directory.record_request_start(&incarnation(1));
         }
-        assert_eq!(directory.withdraw("a", NOW, true), None);
+        assert_eq!(directory.apply_deletion("a", NOW, true), None);
     };
     let mut same = directory(1);
-    outage(&mut same);
-    assert_eq!(same.announce(record(start(1)), SOON), None);
-    assert_eq!(share(&same, Wish::default(), SOON), 0);
-    let mut other = directory(1);
-    outage(&mut other);
+    expire_in_outage(&mut same);
+    assert_eq!(same.apply_entry(record(incarnation(1)), SOON), None);
+    assert_eq!(share(&same, EndpointQuery::default(), SOON), 0);
+    let mut restarted = directory(1);
+    expire_in_outage(&mut restarted);
+    assert_eq!(
+        restarted.apply_entry(record(incarnation(2)), SOON),
+        Some(ListingChange::Restarted)
+    );
     assert_eq!(
-        other.announce(record(start(2)), SOON),
-        Some(Listing::StartedAgain)
+        share(&restarted, EndpointQuery::default(), SOON),
+        initial_share()
     );
-    assert_eq!(share(&other, Wish::default(), SOON), fresh_share());
     assert_eq!(
-        other.expire(NOW + Duration::from_secs(60)),
+        restarted.expire(NOW + Duration::from_secs(60)),
         Vec::<String>::new()
     );
 }
 
 #[test]
-fn an_earlier_start_that_comes_after_the_entry_is_gone_is_not_listed() {
+fn a_late_entry_of_an_earlier_incarnation_is_not_listed_after_a_removal() {
     let mut directory = directory(2);
-    directory.withdraw("a", NOW, false);
-    assert_eq!(directory.announce(record(start(1)), SOON), None);
+    directory.apply_deletion("a", NOW, false);
+    assert_eq!(directory.apply_entry(record(incarnation(1)), SOON), None);
     assert_eq!(directory.len(), 1);
-    // The start that was gone may come back, and one that stays is believed.
+    // The removed incarnation may be listed again, and an earlier one is listed if
+    // its entry arrives after the period in which late writes are possible.
     assert_eq!(
-        directory.announce(record(start(2)), SOON),
-        Some(Listing::Listed)
+        directory.apply_entry(record(incarnation(2)), SOON),
+        Some(ListingChange::Added)
     );
-    directory.withdraw("a", SOON, false);
+    directory.apply_deletion("a", SOON, false);
     let later = SOON + Duration::from_secs(8);
     directory.expire(later);
     assert_eq!(
-        directory.announce(record(start(1)), later),
-        Some(Listing::Listed)
+        directory.apply_entry(record(incarnation(1)), later),
+        Some(ListingChange::Added)
     );
 }
 
 #[test]
-fn an_endpoint_that_tells_no_start_counts_as_started_before_all_that_do() {
-    let untold = EndpointIdentity::unknown_start("a");
+fn an_entry_without_a_start_time_counts_as_the_earliest_incarnation() {
+    let without_start = EndpointIdentity::unknown_start("a");
     let mut directory = Directory::new(ZONE.to_owned());
-    directory.announce(record(untold.clone()), NOW);
-    directory.begin(&untold);
-    assert_eq!(directory.announce(record(untold.clone()), NOW), None);
+    directory.apply_entry(record(without_start.clone()), NOW);
+    directory.record_request_start(&without_start);
+    assert_eq!(
+        directory.apply_entry(record(without_start.clone()), NOW),
+        None
+    );
     assert_eq!(
-        directory.announce(record(start(1)), NOW),
-        Some(Listing::StartedAgain)
+        directory.apply_entry(record(incarnation(1)), NOW),
+        Some(ListingChange::Restarted)
     );
-    assert_eq!(directory.announce(record(untold), NOW), None);
-    assert!(directory.contains(&start(1)));
+    assert_eq!(directory.apply_entry(record(without_start), NOW), None);
+    assert!(directory.contains(&incarnation(1)));
 }
 
 #[test]
-fn the_text_of_an_identity_is_read_as_it_was_written() {
+fn the_text_of_an_identity_parses_to_the_same_identity() {
     for identity in [
-        start(1_764_723_309_000),
+        incarnation(1_764_723_309_000),
         EndpointIdentity::unknown_start("i-7"),
-        start_of("b", u64::MAX),
+        incarnation_of("b", u64::MAX),
     ] {
         assert_eq!(identity.to_string().parse(), Ok(identity));
     }
@@ -311,7 +333,7 @@
     }
 }
 
-/// The endpoint of a turn that is read from its rows, which an edit changed.
+/// Returns the endpoint of a turn after its first row was edited and read back.
 fn read_back(turn: &Turn, edit: impl Fn(Vec<u8>) -> Vec<u8>) -> EndpointIdentity {
     let rows = turn.rows(10_000).into_iter().take(1);
     let rows = rows.map(|write| Row {
@@ -326,14 +348,14 @@
 }
 
 #[test]
-fn a_turn_keeps_the_start_that_ran_it() {
-    assert_eq!(read_back(&turn(start(5)), |row| row), start(5));
-    // Rows of older versions name the endpoint alone.
+fn a_stored_turn_keeps_the_incarnation_that_ran_it() {
+    assert_eq!(read_back(&turn(incarnation(5)), |row| row), incarnation(5));
+    // Rows of older versions contain the endpoint's id without a start time.
     let older = |row: Vec<u8>| {
         let text = String::from_utf8(row).unwrap();
         assert!(text.contains(r#""endpoint":"a/5""#), "{text}");
         text.replace("a/5", "a").into_bytes()
     };
-    let read = read_back(&turn(start(5)), older);
+    let read = read_back(&turn(incarnation(5)), older);
     assert_eq!(read, EndpointIdentity::unknown_start("a"));
 }
--- a/gateway/src/entries.rs
+++ b/gateway/src/entries.rs
@@ -4,7 +4,7 @@
 use std::collections::HashSet;
 use std::time::Duration;
 
-use rosebend_coordination::gateway::directory::Listing;
+use rosebend_coordination::gateway::directory::ListingChange;
 use rosebend_coordination::gateway::refusals::Noted;
 use rosebend_platform::endpoints::{self, EntryError};
 use rosebend_state::deployment::{EndpointRecord, Row};
@@ -48,10 +48,10 @@
     let now = gateway.clock.now();
     let in_outage = is_in_outage(gateway);
     let mut directory = gateway.directory.borrow_mut();
-    let changes = directory.replace(records, &refused, now, in_outage);
+    let changes = directory.apply_snapshot(records, &refused, now, in_outage);
     let (listed, others): (Vec<_>, Vec<_>) = changes
         .iter()
-        .partition(|(_, change)| *change == Listing::Listed);
+        .partition(|(_, change)| *change == ListingChange::Added);
     for (instance, change) in listed.iter().take(MAX_LISTED_LINES).chain(&others) {
         log_listing(instance, *change);
     }
@@ -69,17 +69,17 @@
     let change = match read_entry(row) {
         Entry::Endpoint(record) => {
             end_refusal(gateway, instance, GOOD);
-            gateway.directory.borrow_mut().announce(record, now)
+            gateway.directory.borrow_mut().apply_entry(record, now)
         }
         Entry::Refused(error) => {
             note_refusal(gateway, instance, error.word(), Some(&error));
-            gateway.directory.borrow_mut().refuse(instance);
+            gateway.directory.borrow_mut().mark_invalid(instance);
             None
         }
         Entry::Gone => {
             end_refusal(gateway, instance, GONE);
             let mut directory = gateway.directory.borrow_mut();
-            directory.withdraw(instance, now, in_outage)
+            directory.apply_deletion(instance, now, in_outage)
         }
     };
     if let Some(change) = change {
@@ -150,7 +150,7 @@
 /// Tells which endpoints are of a service that nobody has declared. It may be
 /// declared later.
 pub fn note_undeclared(gateway: &Gateway) {
-    let undeclared = gateway.directory.borrow().undeclared();
+    let undeclared = gateway.directory.borrow().undeclared_endpoints();
     for instance in &undeclared {
         note_refusal(gateway, instance, UNDECLARED, None);
     }
@@ -164,12 +164,12 @@
 }
 
 /// Tells what changed for the choice of endpoints.
-pub fn log_listing(instance: &str, change: Listing) {
+pub fn log_listing(instance: &str, change: ListingChange) {
     let event = match change {
-        Listing::Listed => Event::new(EventKind::EndpointListed),
-        Listing::StartedAgain => Event::new(EventKind::EndpointListed).reason("started-again"),
-        Listing::Draining => Event::new(EventKind::EndpointWithdrawn).reason("draining"),
-        Listing::Gone => Event::new(EventKind::EndpointWithdrawn).reason("gone"),
+        ListingChange::Added => Event::new(EventKind::EndpointListed),
+        ListingChange::Restarted => Event::new(EventKind::EndpointListed).reason("started-again"),
+        ListingChange::Draining => Event::new(EventKind::EndpointWithdrawn).reason("draining"),
+        ListingChange::Removed => Event::new(EventKind::EndpointWithdrawn).reason("gone"),
     };
     log_event(&event.endpoint(instance));
 }
--- a/gateway/src/exchange.rs
+++ b/gateway/src/exchange.rs
@@ -9,7 +9,7 @@
 use http_body_util::Full;
 use hyper::body::Incoming;
 use rosebend_coordination::gateway::attempt::{Attempt, Failure, Next};
-use rosebend_coordination::gateway::directory::Wish;
+use rosebend_coordination::gateway::directory::EndpointQuery;
 use rosebend_platform::headers::{self, AnswerHeader};
 use rosebend_state::deployment::{EndpointIdentity, EndpointRecord, EventId, RouteKind};
 use rosebend_transport::clock::whole_ms;
@@ -130,7 +130,11 @@
         if failure == Failure::Refused {
             return;
         }
-        let avoided = self.gateway.directory.borrow_mut().failed(endpoint, now);
+        let avoided = self
+            .gateway
+            .directory
+            .borrow_mut()
+            .record_failure(endpoint, now);
         if let Some(avoided) = avoided {
             let event = Event::new(EventKind::EndpointAvoided).endpoint(&endpoint.instance);
             log_event(&event.wait_ms(whole_ms(avoided)).reason(failure.word()));
@@ -145,18 +149,18 @@
     }
 
     fn choose(&mut self) -> Option<EndpointRecord> {
-        let wish = Wish {
-            warm: self.warm.as_ref().map(|warm| &warm.endpoint),
+        let query = EndpointQuery {
+            warm_endpoint: self.warm.as_ref().map(|warm| &warm.endpoint),
             warm_tokens: self.warm.as_ref().map_or(0, |warm| warm.tokens),
             is_turn: self.call.route.kind == RouteKind::Streaming,
-            asked: &self.asked,
-            subject: &self.call.header.attempt,
+            tried: &self.asked,
+            jitter_key: &self.call.header.attempt,
         };
         let now = self.gateway.clock.now();
         let directory = self.gateway.directory.borrow();
         let pool = self.gateway.pool.borrow();
         let is_connected = |endpoint: &EndpointIdentity| pool.has_idle(endpoint, now);
-        let chosen = directory.choose(&self.call.service, wish, now, is_connected)?;
+        let chosen = directory.select(&self.call.service, query, now, is_connected)?;
         let event =
             Event::new(EventKind::EndpointChosen).endpoint(&chosen.record.identity.instance);
         let event = event.load(chosen.expected_load);
@@ -252,7 +256,7 @@
         let now = self.gateway.clock.now();
         let mut directory = self.gateway.directory.borrow_mut();
         if let Some(load) = header.load {
-            directory.report(&endpoint.identity, load, now);
+            directory.record_report(&endpoint.identity, load, now);
         }
         let status = response.status().as_u16();
         let is_other = header.attempt.as_ref() != Some(&self.call.header.attempt);
@@ -260,7 +264,7 @@
             return Err(Failure::Broken);
         }
         if header.not_run || status == 421 {
-            directory.full(&endpoint.identity, now);
+            directory.record_rejection(&endpoint.identity, now);
             return Err(Failure::Refused);
         }
         let is_unproven = is_other || header.encoded || !header.stamped;
--- a/gateway/src/gateway.rs
+++ b/gateway/src/gateway.rs
@@ -164,7 +164,7 @@
             return false;
         }
         let services = routes.deployment().services.keys().cloned();
-        self.directory.borrow_mut().declare(services);
+        self.directory.borrow_mut().set_declared_services(services);
         unusable::log_routes(&routes);
         unusable::log_customers(&routes);
         let customers = routes.deployment().customers.as_ref();
@@ -303,7 +303,7 @@
 
     /// Counts a request at an endpoint until the guard is dropped.
     pub fn begin_at(self: &Rc<Self>, endpoint: &EndpointIdentity) -> AtEndpoint {
-        self.directory.borrow_mut().begin(endpoint);
+        self.directory.borrow_mut().record_request_start(endpoint);
         AtEndpoint {
             gateway: Rc::clone(self),
             endpoint: endpoint.clone(),
@@ -340,7 +340,10 @@
 
 impl Drop for AtEndpoint {
     fn drop(&mut self) {
-        self.gateway.directory.borrow_mut().end(&self.endpoint);
+        self.gateway
+            .directory
+            .borrow_mut()
+            .record_request_end(&self.endpoint);
     }
 }
 
--- a/gateway/src/gossip.rs
+++ b/gateway/src/gossip.rs
@@ -89,10 +89,10 @@
                 slots: *slots,
             };
             let at = now.saturating_sub(Duration::from_millis(*age_ms));
-            directory.overhear(endpoint, load, at);
+            directory.record_peer_report(endpoint, load, at);
         }
         for endpoint in &self.failed {
-            directory.overhear_failure(endpoint, now);
+            directory.record_peer_failure(endpoint, now);
         }
     }
 }
@@ -114,7 +114,7 @@
     let now = gateway.clock.now();
     let since = now.saturating_sub(INTERVAL);
     let directory = gateway.directory.borrow();
-    let heard = directory.heard_since(since).map(|(endpoint, load, at)| {
+    let heard = directory.reports_since(since).map(|(endpoint, load, at)| {
         let age_ms = whole_ms(now.saturating_sub(at));
         Heard(
             endpoint.clone(),
@@ -125,7 +125,7 @@
         )
     });
     let loads: Vec<Heard> = heard.take(MAX_LOADS).collect();
-    let failed = directory.failed_since(since).take(MAX_FAILED).cloned();
+    let failed = directory.failures_since(since).take(MAX_FAILED).cloned();
     let failed: Vec<EndpointIdentity> = failed.collect();
     if loads.is_empty() && failed.is_empty() {
         return None;
--- a/gateway/src/plain.rs
+++ b/gateway/src/plain.rs
@@ -68,7 +68,7 @@
     gateway
         .directory
         .borrow_mut()
-        .answered(endpoint, Some(latency), now);
+        .record_response(endpoint, Some(latency), now);
     let status = head.status.as_u16();
     let elapsed = call.elapsed(gateway.clock.now());
     let in_time = elapsed <= call.route.objective;
--- a/gateway/src/quarantine.rs
+++ b/gateway/src/quarantine.rs
@@ -40,7 +40,7 @@
 /// that runs without the endpoint refuses a connection at once; one that is cut
 /// off does not answer.
 async fn has_crashed(gateway: &Gateway, endpoint: &EndpointIdentity) -> bool {
-    if gateway.directory.borrow().has_started_again(endpoint) {
+    if gateway.directory.borrow().has_restarted(endpoint) {
         return true;
     }
     let address = gateway.directory.borrow().address(endpoint);
--- a/gateway/src/runs.rs
+++ b/gateway/src/runs.rs
@@ -210,7 +210,7 @@
         let now = gateway.clock.now();
         let latency = now.saturating_sub(self.sent);
         let mut directory = gateway.directory.borrow_mut();
-        directory.answered(&self.at.endpoint, Some(latency), now);
+        directory.record_response(&self.at.endpoint, Some(latency), now);
     }
 }
 
--- a/gateway/src/watch.rs
+++ b/gateway/src/watch.rs
@@ -82,7 +82,7 @@
         tokio::time::sleep(TIDY_INTERVAL).await;
         let now = gateway.clock.now();
         // Before others are forgotten whose entries are gone.
-        let earlier = gateway.directory.borrow_mut().list_earlier(now);
+        let earlier = gateway.directory.borrow_mut().adopt_older_incarnations(now);
         for (instance, change) in earlier {
             entries::log_listing(&instance, change);
         }
--- a/gateway/tests/gossip.rs
+++ b/gateway/tests/gossip.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use proptest::prelude::*;
-use rosebend_coordination::gateway::directory::{Directory, Wish};
+use rosebend_coordination::gateway::directory::{Directory, EndpointQuery};
 use rosebend_gateway::gossip::{Heard, News};
 use rosebend_state::deployment::{EndpointIdentity, EndpointLoad, EndpointRecord};
 
@@ -28,7 +28,7 @@
             draining: false,
             warming_up: Duration::MAX,
         };
-        directory.announce(record, NOW);
+        directory.apply_entry(record, NOW);
     }
     directory
 }
@@ -39,11 +39,11 @@
     if let Ok(news) = News::try_from(datagram) {
         news.tell(&mut directory, NOW);
     }
-    let wish = Wish {
+    let query = EndpointQuery {
         warm_tokens: u64::MAX,
-        ..Wish::default()
+        ..EndpointQuery::default()
     };
-    assert!(directory.choose("models", wish, NOW, |_| true).is_some());
+    assert!(directory.select("models", query, NOW, |_| true).is_some());
 }
 
 fn news() -> News {
@@ -81,9 +81,9 @@
         slots: 8,
     };
     // Nothing was heard of this start before.
-    directory.overhear(&start("a", 2), load, Duration::ZERO);
-    directory.withdraw("b", NOW, false);
-    let chosen = directory.choose("models", Wish::default(), NOW, |_| true);
+    directory.record_peer_report(&start("a", 2), load, Duration::ZERO);
+    directory.apply_deletion("b", NOW, false);
+    let chosen = directory.select("models", EndpointQuery::default(), NOW, |_| true);
     assert_eq!(chosen.unwrap().report_age, Some(NOW));
 }
 
