--- a/coordination/src/gateway/identity.rs
+++ b/coordination/src/gateway/identity.rs
@@ -1,31 +1,33 @@
-//! Whose request it is, by the key that its caller sent.
+//! Identification of the customer of a request by the key that its caller sent.
 
 use std::sync::Arc;
 use std::time::Duration;
 
 use rosebend_state::deployment::{Customer, CustomerKey, Deployment, KeyOwner, Route};
 
-/// How long the routes may not have been confirmed before a host says no more
-/// that a key or a route is unknown: it may have missed the version that has it.
-/// In quiet they are confirmed every 1.3 s.
-const DOUBTED_AFTER: Duration = Duration::from_millis(2_500);
+/// Time since the last confirmation of the routes after which a gateway no longer
+/// reports a key or a route as unknown, because it may lack the version that contains
+/// it. Without changes, the routes are confirmed every 1.3 s.
+const MAX_CONFIRMATION_AGE: Duration = Duration::from_millis(2_500);
 
-/// Why a request is nobody's.
+/// The reason for which no customer was identified.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum IdentityError {
-    /// Its caller sent no key, or none in the form that is wanted.
+    /// The caller sent no key, or none in the required form.
     NoKey,
-    /// Nobody holds the key.
+    /// The key belongs to no customer.
     UnknownKey,
-    /// The key is that of a customer whose entry can't be used.
+    /// The key belongs to a customer whose entry can't be used, or may belong to one
+    /// whose keys can't be read.
     KeyUnusable,
 }
 
-/// The customer of a request; none where no key is wanted.
+/// Returns the customer of a request, or `None` if the route or the deployment
+/// requires no key.
 ///
 /// # Errors
 ///
-/// Tells why it is nobody's.
+/// Returns the reason if no customer was identified.
 pub fn identify(
     deployment: &Deployment,
     route: &Route,
@@ -42,26 +44,27 @@
     }
 }
 
-/// Until when the routes that a host knows may be gone by.
+/// The time at which the cached routes were last confirmed as current.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Confirmation {
-    /// When the store last said that they are the newest.
+    /// Time of the last confirmation by the store that no newer routes exist.
     at: Duration,
 }
 
 impl Confirmation {
-    /// The store said so at `at`.
+    /// Records that the store confirmed the routes at time `at`.
     pub fn confirm(&mut self, at: Duration) {
         self.at = self.at.max(at);
     }
 
-    /// How long ago that was.
+    /// Returns the time since the last confirmation.
     pub fn age(&self, now: Duration) -> Duration {
         now.saturating_sub(self.at)
     }
 
-    /// Whether a newer version may say otherwise of what is not in this one.
-    pub fn is_doubted(&self, now: Duration) -> bool {
-        self.age(now) > DOUBTED_AFTER
+    /// Returns true if the last confirmation is too old. A newer version may then
+    /// contain keys or routes that are missing in the cached one.
+    pub fn is_stale(&self, now: Duration) -> bool {
+        self.age(now) > MAX_CONFIRMATION_AGE
     }
 }
--- a/coordination/tests/gateway_identity.rs
+++ b/coordination/tests/gateway_identity.rs
@@ -1,4 +1,4 @@
-//! Whose request it is, and when a host says that it is nobody's.
+//! Identification of a request's customer, and the errors if there is none.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -62,21 +62,27 @@
 }
 
 #[test]
-fn a_key_tells_whose_request_it_is() {
+fn a_key_identifies_the_customer() {
     let declared = deployment(Some(customers()));
-    let whose = |text: Option<&str>| {
+    let identify_key = |text: Option<&str>| {
         let key = text.map(key);
         let customer = identify(&declared, &route(false), key.as_ref())?;
         Ok(customer.map(|customer| customer.name.clone()))
     };
-    assert_eq!(whose(Some("ship-key")), Ok(Some("ship".to_owned())));
-    assert_eq!(whose(Some("ship-kez")), Err(IdentityError::UnknownKey));
-    assert_eq!(whose(Some("shared-key")), Err(IdentityError::KeyUnusable));
-    assert_eq!(whose(None), Err(IdentityError::NoKey));
+    assert_eq!(identify_key(Some("ship-key")), Ok(Some("ship".to_owned())));
+    assert_eq!(
+        identify_key(Some("ship-kez")),
+        Err(IdentityError::UnknownKey)
+    );
+    assert_eq!(
+        identify_key(Some("shared-key")),
+        Err(IdentityError::KeyUnusable)
+    );
+    assert_eq!(identify_key(None), Err(IdentityError::NoKey));
 }
 
 #[test]
-fn no_key_is_looked_at_where_none_is_wanted() {
+fn keys_are_ignored_where_none_is_required() {
     let public = deployment(Some(customers()));
     let open = deployment(None);
     for (deployment, is_public) in [(public, true), (open, false)] {
@@ -89,7 +95,7 @@
 }
 
 #[test]
-fn where_some_keys_cannot_be_read_none_is_called_unknown() {
+fn no_key_is_unknown_while_some_keys_are_unreadable() {
     let mut customers = customers();
     customers.has_unreadable_keys = true;
     let declared = deployment(Some(customers));
@@ -99,11 +105,11 @@
 }
 
 #[test]
-fn routes_are_doubted_once_they_were_not_confirmed_for_a_while() {
+fn routes_are_stale_if_they_were_not_confirmed_recently() {
     let mut confirmation = Confirmation::default();
     confirmation.confirm(Duration::from_secs(10));
-    assert!(!confirmation.is_doubted(Duration::from_secs(12)));
-    assert!(confirmation.is_doubted(Duration::from_secs(13)));
+    assert!(!confirmation.is_stale(Duration::from_secs(12)));
+    assert!(confirmation.is_stale(Duration::from_secs(13)));
     confirmation.confirm(Duration::from_secs(13));
-    assert!(!confirmation.is_doubted(Duration::from_secs(13)));
+    assert!(!confirmation.is_stale(Duration::from_secs(13)));
 }
--- a/gateway/src/gateway.rs
+++ b/gateway/src/gateway.rs
@@ -192,7 +192,7 @@
     /// this host has not heard, may have its route or key.
     pub fn unless_doubted(&self, denial: Refusal) -> Refusal {
         let is_denied = matches!(denial, Refusal::NoRoute | Refusal::UnknownKey);
-        match is_denied && self.confirmation.get().is_doubted(self.clock.now()) {
+        match is_denied && self.confirmation.get().is_stale(self.clock.now()) {
             true => Refusal::RoutesUnconfirmed,
             false => denial,
         }
