--- a/coordination/src/gateway.rs
+++ b/coordination/src/gateway.rs
@@ -1,38 +1,41 @@
-//! What a gateway decides: which route a request takes, which endpoint runs
-//! it, whether a program may spend, what becomes durable together, and what
-//! follows when an endpoint fails.
+//! The decisions of a gateway: the route and the endpoint of a request, the budget
+//! of a program, the changes that are committed together, and the reaction to
+//! failures of endpoints.
 //!
-//! | question | where | who asks |
+//! | decision or state | module | used by |
 //! |---|---|---|
-//! | which route a request takes, and which service serves it | [`route_table`] | `intake` |
-//! | which endpoints are there, and which of them runs a request | [`directory`], its prices in `directory::cost` | `watch`, `gossip`, `exchange` |
-//! | whether a new program is begun while engines have queues | [`admission`] | `turn` |
-//! | which entries name no endpoint to use | [`refusals`] | `watch` |
-//! | what follows when an endpoint did not answer as it should | [`attempt`] | `exchange` |
-//! | which events of a stream go out, and where its next run goes on | [`event_series`] | `runs` |
-//! | which requests crash endpoints | [`fingerprint`] | `quarantine`, `dispatch` |
-//! | when a caller that was refused may come back | [`retry_after`] | `reply` |
-//! | what a program has spent, and what its turns may spend | [`ledger`] | `spending` and `recall`, by [`pending_changes`] |
-//! | what programs may spend while the store is unavailable | [`escrow`] | `spending`, by `escrow` |
-//! | which changes of programs become durable together | [`pending_changes`] | `commits` |
-//! | which hosts' transactions are joined into one | [`group_commit`] | `joined_commits` |
-//! | who joins the transactions of a partition | [`gatherers`] | `joined_commits` |
-//! | which hosts are left alone since they did not answer | [`avoidance`] | [`gatherers`], [`follow_tree`] |
-//! | whether a host reads a table of the store itself, or from which host | [`follow_tree`] | `feeds` |
-//! | what a host knows of a table, and what it tells its followers | [`replica`] | `feeds` |
-//! | what was said in earlier turns, and its rows in the store | [`history`] | `programs`, `turn_stream` |
-//! | who keeps a program's history in an availability zone, and what | [`recent_programs`] | `recent_history` |
+//! | The route of a request, and the service that serves it | [`route_table`] | `intake` |
+//! | The customer of a request | [`identity`] | `intake` |
+//! | The limits of customers over all hosts together | [`limits`] | `limits` |
+//! | The known endpoints, and the one that runs a request | [`directory`], its costs in `directory::cost` | `entries`, `watch`, `gossip`, `exchange` |
+//! | The admission of new programs while engines have queues | [`admission`] | `turn` |
+//! | The invalid entries in the table of endpoints | [`refusals`] | `entries` |
+//! | The next step after an endpoint failed | [`attempt`] | `exchange` |
+//! | The events of a stream that are forwarded, and the position at which another endpoint resumes it | [`event_series`] | `runs` |
+//! | The requests that crash endpoints | [`fingerprint`] | `quarantine`, `dispatch` |
+//! | The time after which a refused caller may retry | [`retry_after`] | `reply` |
+//! | The tokens that a program has spent, and those that its turns may spend | [`ledger`] | `spending` and `recall`, by [`pending_changes`] |
+//! | The tokens that programs may spend while the store is unavailable | [`escrow`] | `spending`, by `escrow` |
+//! | The changes of programs that are committed in one transaction | [`pending_changes`] | `commits` |
+//! | The transactions of several hosts that are batched into one | [`group_commit`] | `joined_commits` |
+//! | The host that batches the transactions of a partition | [`gatherers`] | `joined_commits` |
+//! | The hosts that are in backoff because they did not respond | [`avoidance`] | [`gatherers`], [`follow_tree`] |
+//! | The source from which a host reads a table: the store or another host | [`follow_tree`] | `feeds` |
+//! | The cached rows of a table, and the changes that are sent to followers | [`replica`] | `feeds` |
+//! | The messages of earlier turns, and their rows in the store | [`history`] | `programs`, `turn_stream` |
+//! | The host that caches a program's history for an availability zone, and the cached programs | [`recent_programs`] | `recent_history` |
 //!
-//! The modules that ask are those of `rosebend_gateway`, which has the clock,
-//! the connections and the store. Routes, endpoints, calls and rows come as the
-//! checked types of `rosebend_state::deployment`; only rows of programs, whose
-//! form is this folder's own, are decoded here.
+//! The modules in the last column belong to `rosebend_gateway`, which has the clock,
+//! the connections and the store; links refer to modules of this folder. Routes,
+//! endpoints, calls and rows are passed as the validated types of
+//! `rosebend_state::deployment`. Only the rows of programs are decoded here, because
+//! this folder defines their format.
 //!
-//! A turn goes through most of it: its route is found, its predecessor read
-//! from [`history`] and joined to its prompt, its most reserved in the
-//! [`ledger`] by a change in its [`pending_changes`], an endpoint chosen from the
-//! [`directory`]; and at its end one transaction of the [`pending_changes`] holds its
-//! rows and what it really spent.
+//! A turn passes through most of these modules. The gateway finds its route, reads
+//! the preceding turn from [`history`] and prepends it to the prompt, reserves the
+//! turn's maximum output tokens in the [`ledger`] by a change in [`pending_changes`],
+//! and selects an endpoint from the [`directory`]. At the end of the turn, one
+//! transaction of [`pending_changes`] contains its rows and the tokens that it spent.
 
 pub mod admission;
 pub mod attempt;
