--- a/gateway/src/exchange.rs
+++ b/gateway/src/exchange.rs
@@ -8,8 +8,8 @@
 use http::{Request, Response};
 use http_body_util::Full;
 use hyper::body::Incoming;
-use rosebend_coordination::gateway::attempt::{Attempt, Failure, Next};
-use rosebend_coordination::gateway::directory::Wish;
+use rosebend_coordination::gateway::attempt::{Attempt, Failure, NextStep};
+use rosebend_coordination::gateway::directory::EndpointQuery;
 use rosebend_platform::headers::{self, AnswerHeader};
 use rosebend_state::deployment::{EndpointIdentity, EndpointRecord, EventId, RouteKind};
 use rosebend_transport::clock::whole_ms;
@@ -81,7 +81,7 @@
     /// How long the stream of the present endpoint may be silent before another
     /// one is asked; none where that is not allowed.
     pub fn timeout(&self) -> Option<Duration> {
-        self.attempt.timeout(&self.call.route)
+        self.attempt.idle_timeout(&self.call.route)
     }
 
     /// The next answer that may be passed on.
@@ -114,26 +114,32 @@
         let now = self.gateway.clock.now();
         let left = self.call.left(now);
         self.note_failure(endpoint, failure, now);
-        match self.attempt.after(&self.call.route, failure, left) {
-            Next::TryAnother => Ok(()),
-            Next::Refuse => Err(Refusal::NoRoom),
-            Next::Unknown => Err(Refusal::OutcomeUnknown),
-            Next::TimeIsUp => Err(Refusal::TimeIsUp),
+        match self.attempt.next_step(&self.call.route, failure, left) {
+            NextStep::TryAnother => Ok(()),
+            NextStep::Refuse => Err(Refusal::NoRoom),
+            NextStep::UnknownOutcome => Err(Refusal::OutcomeUnknown),
+            NextStep::DeadlineExceeded => Err(Refusal::TimeIsUp),
         }
     }
 
     fn note_failure(&self, endpoint: &EndpointIdentity, failure: Failure, now: Duration) {
         self.gateway.metrics.count_failure(failure);
         let event = Event::new(EventKind::EndpointFailed).endpoint(&endpoint.instance);
-        let event = event.elapsed(self.call.elapsed(now)).reason(failure.word());
+        let event = event
+            .elapsed(self.call.elapsed(now))
+            .reason(failure.as_str());
         self.call.trail.notable(event);
         if failure == Failure::Refused {
             return;
         }
-        let avoided = self.gateway.directory.borrow_mut().failed(endpoint, now);
+        let avoided = self
+            .gateway
+            .directory
+            .borrow_mut()
+            .record_failure(endpoint, now);
         if let Some(avoided) = avoided {
             let event = Event::new(EventKind::EndpointAvoided).endpoint(&endpoint.instance);
-            log_event(&event.wait_ms(whole_ms(avoided)).reason(failure.word()));
+            log_event(&event.wait_ms(whole_ms(avoided)).reason(failure.as_str()));
         }
     }
 
@@ -145,18 +151,18 @@
     }
 
     fn choose(&mut self) -> Option<EndpointRecord> {
-        let wish = Wish {
-            warm: self.warm.as_ref().map(|warm| &warm.endpoint),
+        let query = EndpointQuery {
+            warm_endpoint: self.warm.as_ref().map(|warm| &warm.endpoint),
             warm_tokens: self.warm.as_ref().map_or(0, |warm| warm.tokens),
             is_turn: self.call.route.kind == RouteKind::Streaming,
-            asked: &self.asked,
-            subject: &self.call.header.attempt,
+            tried: &self.asked,
+            jitter_key: &self.call.header.attempt,
         };
         let now = self.gateway.clock.now();
         let directory = self.gateway.directory.borrow();
         let pool = self.gateway.pool.borrow();
         let is_connected = |endpoint: &EndpointIdentity| pool.has_idle(endpoint, now);
-        let chosen = directory.choose(&self.call.service, wish, now, is_connected)?;
+        let chosen = directory.select(&self.call.service, query, now, is_connected)?;
         let event =
             Event::new(EventKind::EndpointChosen).endpoint(&chosen.record.identity.instance);
         let event = event.load(chosen.expected_load);
@@ -182,7 +188,7 @@
         let timeout = self.timeout().unwrap_or(left);
         let exchanged = tokio::time::timeout(left.min(timeout), exchanging).await;
         exchanged.unwrap_or(Err(match timeout < left {
-            true => Failure::Silent,
+            true => Failure::Stalled,
             false => Failure::TimedOut,
         }))
     }
@@ -252,7 +258,7 @@
         let now = self.gateway.clock.now();
         let mut directory = self.gateway.directory.borrow_mut();
         if let Some(load) = header.load {
-            directory.report(&endpoint.identity, load, now);
+            directory.record_report(&endpoint.identity, load, now);
         }
         let status = response.status().as_u16();
         let is_other = header.attempt.as_ref() != Some(&self.call.header.attempt);
@@ -260,7 +266,7 @@
             return Err(Failure::Broken);
         }
         if header.not_run || status == 421 {
-            directory.full(&endpoint.identity, now);
+            directory.record_rejection(&endpoint.identity, now);
             return Err(Failure::Refused);
         }
         let is_unproven = is_other || header.encoded || !header.stamped;
