--- a/coordination/src/gateway/escrow/slots.rs
+++ b/coordination/src/gateway/escrow/slots.rs
@@ -22,7 +22,7 @@
 use super::hold_off::{DEMAND_TIME, Epoch, HOLD_OFF, HoldOffRow};
 use super::message::{Ask, ProgramAsk, Reply};
 use super::slot::{KEY_PREFIX, SlotId, SlotRow, SlotWrite};
-use crate::gateway::gatherers::{Candidate, ranked_by, strong};
+use crate::gateway::gatherers::{PeerHost, ranked_by, strong};
 use crate::gateway::ledger::Holder;
 
 /// How long a slot stays with an owner that is gone.
@@ -86,7 +86,7 @@
 #[derive(Debug)]
 pub struct Slots<A> {
     own_run: Holder,
-    hosts: Vec<Candidate<A>>,
+    hosts: Vec<PeerHost<A>>,
     hosts_changed_at: Duration,
     /// Whether all hosts keep room for grants in their ledgers; no slot is taken
     /// before.
@@ -133,8 +133,8 @@
     }
 
     /// Takes all hosts that are there, this one among them.
-    pub fn set_hosts(&mut self, hosts: Vec<Candidate<A>>, all_withhold: bool, now: Duration) {
-        let runs = |hosts: &[Candidate<A>]| -> Vec<Holder> {
+    pub fn set_hosts(&mut self, hosts: Vec<PeerHost<A>>, all_withhold: bool, now: Duration) {
+        let runs = |hosts: &[PeerHost<A>]| -> Vec<Holder> {
             hosts.iter().map(|host| host.run.clone()).collect()
         };
         if runs(&hosts) != runs(&self.hosts) {
@@ -186,7 +186,7 @@
         }
     }
 
-    fn host(&self, run: &Holder) -> Option<&Candidate<A>> {
+    fn host(&self, run: &Holder) -> Option<&PeerHost<A>> {
         self.hosts.iter().find(|host| host.run == *run)
     }
 
@@ -517,14 +517,14 @@
 
     /// The hosts that may take a slot over from this run, which stops, in the order in
     /// which they are asked. Those that own the partition's other slots come last.
-    pub fn successors(&self, slot: &SlotId) -> Vec<Candidate<A>> {
+    pub fn successors(&self, slot: &SlotId) -> Vec<PeerHost<A>> {
         let hosts = strong(self.hosts.clone());
         let ranked = ranked_by(&format!("{KEY_PREFIX}{}", slot.partition), hosts.iter());
         let others = SlotId::of(&slot.partition).filter(|other| other != slot);
         let others: Vec<&Holder> = others
             .filter_map(|other| self.known.get(&other)?.owner())
             .collect();
-        let mut ranked: Vec<&Candidate<A>> = ranked
+        let mut ranked: Vec<&PeerHost<A>> = ranked
             .into_iter()
             .filter(|host| host.run != self.own_run)
             .collect();
@@ -534,7 +534,7 @@
     }
 
     /// Other hosts.
-    pub fn peers(&self) -> impl Iterator<Item = &Candidate<A>> {
+    pub fn peers(&self) -> impl Iterator<Item = &PeerHost<A>> {
         self.hosts.iter().filter(|host| host.run != self.own_run)
     }
 }
--- a/coordination/src/gateway/follow_tree.rs
+++ b/coordination/src/gateway/follow_tree.rs
@@ -13,7 +13,7 @@
 use rosebend_state::id::HostId;
 
 use crate::gateway::avoidance::Avoidance;
-use crate::gateway::gatherers::{Candidate, least_strong_milli, ranked_by};
+use crate::gateway::gatherers::{PeerHost, least_strong_milli, ranked_by};
 use crate::gateway::ledger::Holder;
 
 /// Hosts of an availability zone that read the store, so that one may fail.
@@ -30,7 +30,7 @@
     /// It reads the store.
     Store,
     /// It follows another host.
-    Host(Candidate<A>),
+    Host(PeerHost<A>),
 }
 
 /// The tree of one availability zone, as one of its hosts knows it.
@@ -38,7 +38,7 @@
 pub struct FollowTree<A> {
     own_host: HostId,
     /// All hosts of the zone, the readers first.
-    ranked: Vec<Candidate<A>>,
+    ranked: Vec<PeerHost<A>>,
     /// This host's place among them.
     own_rank: Option<usize>,
     avoidance: Avoidance,
@@ -56,9 +56,9 @@
     }
 
     /// Takes all hosts of the availability zone, this one among them.
-    pub fn set_hosts(&mut self, hosts: Vec<Candidate<A>>) {
+    pub fn set_hosts(&mut self, hosts: Vec<PeerHost<A>>) {
         let least = least_strong_milli(&hosts);
-        let is_strong = |host: &&Candidate<A>| host.processor_milli >= least;
+        let is_strong = |host: &&PeerHost<A>| host.processor_milli >= least;
         let (strong, weak): (Vec<_>, Vec<_>) = hosts.iter().partition(is_strong);
         let strong = ranked_by(WORK, strong.into_iter());
         let weak = ranked_by(WORK, weak.into_iter());
--- a/coordination/src/gateway/gatherers.rs
+++ b/coordination/src/gateway/gatherers.rs
@@ -22,9 +22,9 @@
 /// The share of the strongest host's processor, as one in so many, that a host
 /// needs to gather for others: weaker hosts serve as many callers of their own.
 const STRONG_SHARE: u32 = 2;
-/// A host that may gather.
+/// Another gateway host as this one knows it.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Candidate<A> {
+pub struct PeerHost<A> {
     /// Its name, which is the same after a restart.
     pub host: HostId,
     /// The run of its process: another one is not avoided for what this one did.
@@ -37,13 +37,13 @@
 
 /// The least share of a processor, in thousandths of a core, of a host that works for
 /// others.
-pub fn least_strong_milli<A>(hosts: &[Candidate<A>]) -> u32 {
+pub fn least_strong_milli<A>(hosts: &[PeerHost<A>]) -> u32 {
     let strongest = hosts.iter().map(|host| host.processor_milli).max();
     strongest.unwrap_or(0) / STRONG_SHARE
 }
 
 /// Those hosts that are strong enough to work for others.
-pub fn strong<A>(hosts: Vec<Candidate<A>>) -> Vec<Candidate<A>> {
+pub fn strong<A>(hosts: Vec<PeerHost<A>>) -> Vec<PeerHost<A>> {
     let least = least_strong_milli(&hosts);
     let strong = hosts.into_iter();
     let strong = strong.filter(|host| host.processor_milli >= least);
@@ -53,9 +53,9 @@
 /// Hosts in the order in which they are to do what `work` names.
 pub fn ranked_by<'a, A>(
     work: &str,
-    hosts: impl Iterator<Item = &'a Candidate<A>>,
-) -> Vec<&'a Candidate<A>> {
-    let mut ranked: Vec<&Candidate<A>> = hosts.collect();
+    hosts: impl Iterator<Item = &'a PeerHost<A>>,
+) -> Vec<&'a PeerHost<A>> {
+    let mut ranked: Vec<&PeerHost<A>> = hosts.collect();
     ranked.sort_by_key(|host| hash_parts(&[work.as_bytes(), host.host.as_bytes()]));
     ranked
 }
@@ -63,7 +63,7 @@
 /// The hosts that may gather, as this one knows them.
 #[derive(Debug)]
 pub struct Gatherers<A> {
-    candidates: Vec<Candidate<A>>,
+    candidates: Vec<PeerHost<A>>,
     avoidance: Avoidance,
 }
 
@@ -78,7 +78,7 @@
 
 impl<A> Gatherers<A> {
     /// Takes all hosts that are there, this one among them.
-    pub fn set(&mut self, hosts: Vec<Candidate<A>>) {
+    pub fn set(&mut self, hosts: Vec<PeerHost<A>>) {
         self.candidates = strong(hosts);
         let candidates = &self.candidates;
         self.avoidance
@@ -86,7 +86,7 @@
     }
 
     /// The hosts to ask for a partition's transaction, best first.
-    pub fn ranked(&self, partition: &str, now: Duration) -> Vec<&Candidate<A>> {
+    pub fn ranked(&self, partition: &str, now: Duration) -> Vec<&PeerHost<A>> {
         let candidates = self.candidates.iter();
         let usable = candidates.filter(|candidate| {
             let run = &candidate.run;
--- a/coordination/src/gateway/limits.rs
+++ b/coordination/src/gateway/limits.rs
@@ -30,7 +30,7 @@
 use self::links::{Links, SILENT_AFTER};
 use self::message::{Answer, Ask};
 use self::stock::{Demand, Stock};
-use crate::gateway::gatherers::Candidate;
+use crate::gateway::gatherers::PeerHost;
 use crate::gateway::ledger::Holder;
 
 pub mod allocator;
@@ -131,7 +131,7 @@
     }
 
     /// Takes all hosts that are there, this one among them.
-    pub fn set_hosts(&mut self, hosts: Vec<Candidate<A>>) {
+    pub fn set_hosts(&mut self, hosts: Vec<PeerHost<A>>) {
         self.hosts = hosts.len();
         self.runs = hosts.iter().map(|host| host.run.clone()).collect();
         self.links.set_hosts(hosts);
@@ -244,7 +244,7 @@
     fn ask(
         &mut self,
         groups: Vec<Group>,
-        allocator: &Candidate<A>,
+        allocator: &PeerHost<A>,
         names: &[CustomerName],
         now: Duration,
     ) -> Option<(A, Ask)> {
--- a/coordination/src/gateway/limits/links.rs
+++ b/coordination/src/gateway/limits/links.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use super::{GROUPS, Group};
-use crate::gateway::gatherers::{Candidate, ranked_by, strong};
+use crate::gateway::gatherers::{PeerHost, ranked_by, strong};
 use crate::gateway::ledger::Holder;
 
 /// Silence after which an allocator is left for the next one, and after which it
@@ -35,7 +35,7 @@
 pub struct Links<A> {
     own_run: Holder,
     /// Allocators by group, best first.
-    ranked: Vec<Vec<Candidate<A>>>,
+    ranked: Vec<Vec<PeerHost<A>>>,
     links: HashMap<Holder, Link>,
     number: u64,
 }
@@ -52,7 +52,7 @@
     }
 
     /// Takes all hosts that are there, this one among them.
-    pub fn set_hosts(&mut self, hosts: Vec<Candidate<A>>) {
+    pub fn set_hosts(&mut self, hosts: Vec<PeerHost<A>>) {
         self.links
             .retain(|run, _| hosts.iter().any(|host| host.run == *run));
         let hosts = strong(hosts);
@@ -65,7 +65,7 @@
     }
 
     /// The allocator of a group; none when all have been silent.
-    pub fn current(&self, group: Group, now: Duration) -> Option<&Candidate<A>> {
+    pub fn current(&self, group: Group, now: Duration) -> Option<&PeerHost<A>> {
         let ranked = self.ranked.get(usize::try_from(group).ok()?)?;
         ranked.iter().find(|host| !self.is_silent(&host.run, now))
     }
@@ -73,8 +73,8 @@
     /// All allocators that are to be told something, with the groups for which
     /// this host keeps to them: none for those that are only asked whether they
     /// answer again.
-    pub fn to_tell(&self, now: Duration) -> Vec<(Candidate<A>, Vec<Group>)> {
-        let mut told: Vec<(Candidate<A>, Vec<Group>)> = Vec::new();
+    pub fn to_tell(&self, now: Duration) -> Vec<(PeerHost<A>, Vec<Group>)> {
+        let mut told: Vec<(PeerHost<A>, Vec<Group>)> = Vec::new();
         for group in 0..GROUPS {
             let current = self.current(group, now).map(|host| &host.run);
             for host in self.ranked.get(group as usize).into_iter().flatten() {
--- a/coordination/src/gateway/recent_programs.rs
+++ b/coordination/src/gateway/recent_programs.rs
@@ -10,7 +10,7 @@
 
 use rosebend_state::deployment::{ProgramKey, Row, RowId};
 
-use crate::gateway::gatherers::{Candidate, ranked_by};
+use crate::gateway::gatherers::{PeerHost, ranked_by};
 use crate::gateway::history::{is_of_turn, partition_of, program_of};
 
 /// Most bytes that are kept: the programs of some seconds at several hundred turns a second.
@@ -92,8 +92,8 @@
 /// The host of an availability zone that keeps a program's history for the others.
 pub fn keeper<'a, A>(
     program: &str,
-    hosts: impl Iterator<Item = &'a Candidate<A>>,
-) -> Option<&'a Candidate<A>> {
+    hosts: impl Iterator<Item = &'a PeerHost<A>>,
+) -> Option<&'a PeerHost<A>> {
     let work = format!("history/{}", partition_of(program));
     ranked_by(&work, hosts).into_iter().next()
 }
--- a/coordination/tests/escrow_world/mod.rs
+++ b/coordination/tests/escrow_world/mod.rs
@@ -10,7 +10,7 @@
 use rosebend_coordination::gateway::escrow::slot::{SlotId, SlotRow, SlotWrite};
 use rosebend_coordination::gateway::escrow::slots::{Owner, Slots};
 use rosebend_coordination::gateway::escrow::terms::{ClosingAnswers, EscrowTerms};
-use rosebend_coordination::gateway::gatherers::Candidate;
+use rosebend_coordination::gateway::gatherers::PeerHost;
 use rosebend_coordination::gateway::history::partition_of;
 use rosebend_coordination::gateway::ledger::Ledger;
 use rosebend_coordination::gateway::pending_changes::{Answer, Change, Outcome, PendingChanges};
@@ -127,16 +127,12 @@
         if !self.is_store_up {
             return;
         }
-        let candidates = self
-            .hosts
-            .iter()
-            .enumerate()
-            .map(|(index, host)| Candidate {
-                host: format!("host-{index}"),
-                run: host.run.clone(),
-                address: index,
-                processor_milli: 500,
-            });
+        let candidates = self.hosts.iter().enumerate().map(|(index, host)| PeerHost {
+            host: format!("host-{index}"),
+            run: host.run.clone(),
+            address: index,
+            processor_milli: 500,
+        });
         let candidates = candidates.collect();
         let now = self.now;
         let slots = &mut self.hosts[host].slots;
--- a/coordination/tests/follow_world/mod.rs
+++ b/coordination/tests/follow_world/mod.rs
@@ -7,7 +7,7 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use rosebend_coordination::gateway::follow_tree::{FollowTree, Source};
-use rosebend_coordination::gateway::gatherers::Candidate;
+use rosebend_coordination::gateway::gatherers::PeerHost;
 use rosebend_coordination::gateway::replica::{TableChanges, TableReplica};
 use rosebend_state::deployment::{Row, RowId, RowVersion};
 
@@ -27,8 +27,8 @@
 const LONGEST: Duration = Duration::from_secs(30);
 
 /// A host by its number; every third is weak.
-pub fn candidate(index: usize) -> Candidate<usize> {
-    Candidate {
+pub fn candidate(index: usize) -> PeerHost<usize> {
+    PeerHost {
         host: format!("host-{index}"),
         run: format!("host-{index}/a"),
         address: index,
@@ -53,7 +53,7 @@
         until: Duration,
     },
     Host {
-        host: Candidate<usize>,
+        host: PeerHost<usize>,
         since: Duration,
     },
 }
@@ -217,7 +217,7 @@
         }
     }
 
-    fn wait_for(&mut self, index: usize, asked: &Candidate<usize>, since: Duration) {
+    fn wait_for(&mut self, index: usize, asked: &PeerHost<usize>, since: Duration) {
         let waited = self.now - since;
         let answer = match self.hosts[asked.address].fault {
             Some(Fault::Killed) => return self.give_up(index, asked),
@@ -246,7 +246,7 @@
         (has_news || waited >= FOLLOW_WAIT).then_some((news, age))
     }
 
-    fn take(&mut self, index: usize, asked: &Candidate<usize>, news: &TableChanges, age: Duration) {
+    fn take(&mut self, index: usize, asked: &PeerHost<usize>, news: &TableChanges, age: Duration) {
         let now = self.now;
         let host = &mut self.hosts[index];
         let before = host.replica.version();
@@ -262,7 +262,7 @@
         }
     }
 
-    fn give_up(&mut self, index: usize, asked: &Candidate<usize>) {
+    fn give_up(&mut self, index: usize, asked: &PeerHost<usize>) {
         let now = self.now;
         let host = &mut self.hosts[index];
         host.tree.silent(&asked.host, &asked.run, now);
--- a/coordination/tests/gateway_recent_programs.rs
+++ b/coordination/tests/gateway_recent_programs.rs
@@ -1,7 +1,7 @@
 //! What a host keeps of the programs that others of its availability zone have written.
 
 use proptest::prelude::*;
-use rosebend_coordination::gateway::gatherers::Candidate;
+use rosebend_coordination::gateway::gatherers::PeerHost;
 use rosebend_coordination::gateway::history::{ledger_row, partition_of};
 use rosebend_coordination::gateway::recent_programs::{RecentPrograms, keeper};
 use rosebend_state::deployment::{Row, RowId};
@@ -69,8 +69,8 @@
 /// The hosts of an availability zone choose the same keeper, and share the work.
 #[test]
 fn programs_are_spread_over_the_hosts_of_a_zone() {
-    let hosts: Vec<Candidate<usize>> = (0..125)
-        .map(|number| Candidate {
+    let hosts: Vec<PeerHost<usize>> = (0..125)
+        .map(|number| PeerHost {
             host: format!("host-{number}"),
             run: format!("host-{number}/1"),
             address: number,
@@ -88,7 +88,7 @@
         "{} keepers",
         keepers.len()
     );
-    let none: [Candidate<usize>; 0] = [];
+    let none: [PeerHost<usize>; 0] = [];
     assert!(keeper("program", none.iter()).is_none());
 }
 
--- a/coordination/tests/limit_world/mod.rs
+++ b/coordination/tests/limit_world/mod.rs
@@ -8,7 +8,7 @@
 
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use rosebend_coordination::gateway::gatherers::Candidate;
+use rosebend_coordination::gateway::gatherers::PeerHost;
 use rosebend_coordination::gateway::limits::message::{Answer, Ask};
 use rosebend_coordination::gateway::limits::stock::Demand;
 use rosebend_coordination::gateway::limits::{Decision, HostLimits, Tolerance};
@@ -205,7 +205,7 @@
 
     fn tell_hosts(&mut self) {
         let candidates = self.hosts.iter().enumerate();
-        let candidates = candidates.map(|(index, host)| Candidate {
+        let candidates = candidates.map(|(index, host)| PeerHost {
             host: format!("host-{index}"),
             run: run(index, host.runs),
             address: index,
--- a/gateway/src/escrow.rs
+++ b/gateway/src/escrow.rs
@@ -20,7 +20,7 @@
 use rosebend_coordination::gateway::escrow::message::{Answer, Ask, Question, Reply};
 use rosebend_coordination::gateway::escrow::slot::{SlotId, SlotRow, SlotWrite};
 use rosebend_coordination::gateway::escrow::slots::{Owner, Slots};
-use rosebend_coordination::gateway::gatherers::Candidate;
+use rosebend_coordination::gateway::gatherers::PeerHost;
 use rosebend_coordination::gateway::ledger::Holder;
 use rosebend_state::deployment::{Condition, Row, RowId, RowWrite, Transaction};
 use rosebend_transport::event::{Event, EventKind, log_event};
@@ -96,7 +96,7 @@
     }
 
     /// Takes all hosts that are there, this one among them.
-    pub fn set_hosts(&self, hosts: Vec<Candidate<SocketAddr>>, all_withhold: bool, now: Duration) {
+    pub fn set_hosts(&self, hosts: Vec<PeerHost<SocketAddr>>, all_withhold: bool, now: Duration) {
         let mut slots = self.slots.borrow_mut();
         slots.set_hosts(hosts, all_withhold, now);
     }
--- a/gateway/src/escrow/giving_up.rs
+++ b/gateway/src/escrow/giving_up.rs
@@ -6,7 +6,7 @@
 use futures_util::future::join_all;
 use rosebend_coordination::gateway::escrow::message::{Ask, Reply};
 use rosebend_coordination::gateway::escrow::slot::{SlotId, SlotWrite};
-use rosebend_coordination::gateway::gatherers::Candidate;
+use rosebend_coordination::gateway::gatherers::PeerHost;
 use rosebend_coordination::gateway::ledger::Holder;
 use rosebend_state::deployment::RowId;
 use rosebend_transport::event::{Event, EventKind, log_event};
@@ -113,7 +113,7 @@
     async fn successor(&self, slot: &SlotId) -> Option<Holder> {
         let mut candidates = self.slots.borrow().successors(slot);
         candidates.truncate(MAX_ASKED);
-        for Candidate { run, address, .. } in candidates {
+        for PeerHost { run, address, .. } in candidates {
             if self.ask_run(&run, address, slot, Ask::Accept).await == Some(Reply::Noted) {
                 return Some(run);
             }
--- a/gateway/src/feeds.rs
+++ b/gateway/src/feeds.rs
@@ -22,7 +22,7 @@
 
 use futures_util::future::try_join_all;
 use rosebend_coordination::gateway::follow_tree::{FollowTree, Source};
-use rosebend_coordination::gateway::gatherers::Candidate;
+use rosebend_coordination::gateway::gatherers::PeerHost;
 use rosebend_coordination::gateway::replica::{TableChanges, TableReplica};
 use rosebend_protocol::follow::FollowAnswer;
 use rosebend_state::deployment::{Row, RowRange, RowVersion};
@@ -106,7 +106,7 @@
     }
 
     /// Takes the hosts of the availability zone, this one among them.
-    pub fn set_hosts(&self, hosts: Vec<Candidate<SocketAddr>>) {
+    pub fn set_hosts(&self, hosts: Vec<PeerHost<SocketAddr>>) {
         let is_there = |address: &SocketAddr| hosts.iter().any(|host| host.address == *address);
         self.connections.retain(is_there);
         self.tree.borrow_mut().set_hosts(hosts);
@@ -133,7 +133,7 @@
     /// it.
     pub async fn take_hosts_from(
         self: &Rc<Self>,
-        hosts: &[Candidate<SocketAddr>],
+        hosts: &[PeerHost<SocketAddr>],
     ) -> Option<Followed> {
         let table = FollowedTable::Gateways;
         for host in hosts {
@@ -227,7 +227,7 @@
         source
     }
 
-    fn avoid(&self, host: &Candidate<SocketAddr>, reason: &'static str) {
+    fn avoid(&self, host: &PeerHost<SocketAddr>, reason: &'static str) {
         let now = self.clock.now();
         let wait = self.tree.borrow_mut().silent(&host.host, &host.run, now);
         if let Some(wait) = wait {
@@ -239,7 +239,7 @@
 
     async fn take_answer(
         self: &Rc<Self>,
-        host: &Candidate<SocketAddr>,
+        host: &PeerHost<SocketAddr>,
         table: FollowedTable,
         answered: Answered,
     ) -> Result<Followed, StoreError> {
@@ -274,7 +274,7 @@
 
     fn record_store_state(
         self: &Rc<Self>,
-        host: &Candidate<SocketAddr>,
+        host: &PeerHost<SocketAddr>,
         answer: &FollowAnswer,
         answered_at: Duration,
     ) {
@@ -287,7 +287,7 @@
 
     /// Finds out whether the store is away from this host, too, or only from the host
     /// above, which then receives no changes.
-    async fn check_store(self: Rc<Self>, host: Candidate<SocketAddr>) {
+    async fn check_store(self: Rc<Self>, host: PeerHost<SocketAddr>) {
         let table = FollowedTable::Gateways.name();
         if self.store.probe(table, "").await {
             self.avoid(&host, "cut-off");
--- a/gateway/src/feeds/ask.rs
+++ b/gateway/src/feeds/ask.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use rosebend_coordination::gateway::gatherers::Candidate;
+use rosebend_coordination::gateway::gatherers::PeerHost;
 use rosebend_protocol::follow::{
     FollowAnswer, FollowError, FollowRequest, decode_answer, encode_request,
 };
@@ -51,7 +51,7 @@
 impl Feeds {
     pub(super) async fn ask(
         &self,
-        host: &Candidate<SocketAddr>,
+        host: &PeerHost<SocketAddr>,
         table: FollowedTable,
         wait: Duration,
     ) -> Result<Answered, AskError> {
--- a/gateway/src/holders.rs
+++ b/gateway/src/holders.rs
@@ -4,7 +4,7 @@
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
-use rosebend_coordination::gateway::gatherers::Candidate;
+use rosebend_coordination::gateway::gatherers::PeerHost;
 use rosebend_coordination::gateway::ledger::Holder;
 
 /// Addresses of runs that are not in the table of gateways here, at most; about 100
@@ -29,7 +29,7 @@
 
     /// Takes all hosts that are there. Without them each host would read every other
     /// one's row from the store when it first meets its reservations.
-    pub fn set_hosts(&self, hosts: &[Candidate<SocketAddr>]) {
+    pub fn set_hosts(&self, hosts: &[PeerHost<SocketAddr>]) {
         let hosts = hosts.iter();
         let listed = hosts.map(|host| (host.run.clone(), host.address));
         self.listed.replace(listed.collect());
--- a/gateway/src/joined_commits.rs
+++ b/gateway/src/joined_commits.rs
@@ -16,7 +16,7 @@
 
 use futures_util::StreamExt;
 use futures_util::stream::FuturesUnordered;
-use rosebend_coordination::gateway::gatherers::{Candidate, Gatherers};
+use rosebend_coordination::gateway::gatherers::{Gatherers, PeerHost};
 use rosebend_coordination::gateway::group_commit::{GroupCommit, LateId, PartId, pace};
 use rosebend_coordination::gateway::history::PARTITIONS;
 use rosebend_coordination::gateway::ledger::Holder;
@@ -82,7 +82,7 @@
     /// By this host, joined with what others sent here.
     Here,
     /// By another host.
-    By(Candidate<SocketAddr>),
+    By(PeerHost<SocketAddr>),
 }
 
 /// How one way ended.
@@ -122,7 +122,7 @@
     }
 
     /// Takes all hosts that are there, this one among them.
-    pub fn set_hosts(&self, hosts: Vec<Candidate<SocketAddr>>) {
+    pub fn set_hosts(&self, hosts: Vec<PeerHost<SocketAddr>>) {
         let is_there = |address: &SocketAddr| hosts.iter().any(|host| host.address == *address);
         self.connections.retain(is_there);
         self.gatherers.borrow_mut().set(hosts);
@@ -235,7 +235,7 @@
 
     async fn try_by(
         &self,
-        candidate: &Candidate<SocketAddr>,
+        candidate: &PeerHost<SocketAddr>,
         transaction: &Transaction,
         accepted: &Cell<bool>,
     ) -> Tried {
@@ -276,7 +276,7 @@
         }
     }
 
-    fn avoid(&self, candidate: &Candidate<SocketAddr>, reason: &'static str) {
+    fn avoid(&self, candidate: &PeerHost<SocketAddr>, reason: &'static str) {
         let now = self.clock.now();
         let mut gatherers = self.gatherers.borrow_mut();
         if let Some(wait) = gatherers.silent(&candidate.host, &candidate.run, now) {
--- a/gateway/src/joined_commits/ask.rs
+++ b/gateway/src/joined_commits/ask.rs
@@ -8,7 +8,7 @@
 use actix_http::body::{BodyStream, BoxBody, MessageBody};
 use actix_http::{Response, StatusCode};
 use bytes::Bytes;
-use rosebend_coordination::gateway::gatherers::Candidate;
+use rosebend_coordination::gateway::gatherers::PeerHost;
 use rosebend_coordination::gateway::history::partitions;
 use rosebend_coordination::gateway::ledger::Holder;
 use rosebend_protocol::commit::{
@@ -54,7 +54,7 @@
 /// Tells why nothing is known of the transaction.
 pub async fn ask(
     connections: &PeerConnections,
-    gatherer: &Candidate<SocketAddr>,
+    gatherer: &PeerHost<SocketAddr>,
     transaction: &Transaction,
     accepted: &Cell<bool>,
 ) -> Result<Committed, AskError> {
--- a/gateway/src/limits.rs
+++ b/gateway/src/limits.rs
@@ -10,7 +10,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use rosebend_coordination::gateway::gatherers::Candidate;
+use rosebend_coordination::gateway::gatherers::PeerHost;
 use rosebend_coordination::gateway::ledger::Holder;
 use rosebend_coordination::gateway::limits::message::{Answer, Ask};
 use rosebend_coordination::gateway::limits::stock::Demand;
@@ -80,7 +80,7 @@
     }
 
     /// Takes all hosts that are there, this one among them.
-    pub fn set_hosts(&self, hosts: Vec<Candidate<SocketAddr>>) {
+    pub fn set_hosts(&self, hosts: Vec<PeerHost<SocketAddr>>) {
         self.state.borrow_mut().set_hosts(hosts);
     }
 
--- a/gateway/src/peers/table.rs
+++ b/gateway/src/peers/table.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-use rosebend_coordination::gateway::gatherers::Candidate;
+use rosebend_coordination::gateway::gatherers::PeerHost;
 use rosebend_coordination::gateway::ledger::Holder;
 use rosebend_state::deployment::Row;
 use rosebend_state::id::AvailabilityZone;
@@ -86,20 +86,20 @@
     }
 
     /// All of them, as hosts that may commit for others.
-    pub fn candidates(&self) -> Vec<Candidate<SocketAddr>> {
+    pub fn candidates(&self) -> Vec<PeerHost<SocketAddr>> {
         self.peers.values().map(candidate).collect()
     }
 
     /// Those of an availability zone, as hosts that may be followed.
-    pub fn candidates_of(&self, zone: &AvailabilityZone) -> Vec<Candidate<SocketAddr>> {
+    pub fn candidates_of(&self, zone: &AvailabilityZone) -> Vec<PeerHost<SocketAddr>> {
         let peers = self.peers.values();
         let of_zone = peers.filter(|peer| peer.availability_zone.as_ref() == Some(zone));
         of_zone.map(candidate).collect()
     }
 }
 
-fn candidate(peer: &PeerRow) -> Candidate<SocketAddr> {
-    Candidate {
+fn candidate(peer: &PeerRow) -> PeerHost<SocketAddr> {
+    PeerHost {
         host: peer.host.clone(),
         run: peer.holder.clone(),
         address: peer.relay,
--- a/gateway/src/recent_history.rs
+++ b/gateway/src/recent_history.rs
@@ -15,7 +15,7 @@
 use actix_http::{Response, StatusCode};
 use bytes::Bytes;
 use rosebend_coordination::gateway::avoidance::Avoidance;
-use rosebend_coordination::gateway::gatherers::{Candidate, strong};
+use rosebend_coordination::gateway::gatherers::{PeerHost, strong};
 use rosebend_coordination::gateway::history::Turn;
 use rosebend_coordination::gateway::ledger::Holder;
 use rosebend_coordination::gateway::recent_programs::{RecentPrograms, keeper};
@@ -44,7 +44,7 @@
 #[derive(Debug)]
 pub struct RecentHistory {
     own_run: Holder,
-    hosts: RefCell<Vec<Candidate<SocketAddr>>>,
+    hosts: RefCell<Vec<PeerHost<SocketAddr>>>,
     avoidance: RefCell<Avoidance>,
     programs: RefCell<RecentPrograms>,
     connections: PeerConnections,
@@ -74,7 +74,7 @@
     }
 
     /// Takes the hosts of the availability zone, this one among them.
-    pub fn set_hosts(&self, hosts: Vec<Candidate<SocketAddr>>) {
+    pub fn set_hosts(&self, hosts: Vec<PeerHost<SocketAddr>>) {
         let hosts = strong(hosts);
         let is_there = |address: &SocketAddr| hosts.iter().any(|host| host.address == *address);
         self.connections.retain(is_there);
@@ -84,7 +84,7 @@
     }
 
     /// Who keeps a program, unless no host is known or this one is alone.
-    fn keeper(&self, program: &str, now: Duration) -> Option<Candidate<SocketAddr>> {
+    fn keeper(&self, program: &str, now: Duration) -> Option<PeerHost<SocketAddr>> {
         let hosts = self.hosts.borrow();
         let avoidance = self.avoidance.borrow();
         let usable = hosts.iter();
@@ -95,7 +95,7 @@
 
     async fn send(
         &self,
-        keeper: &Candidate<SocketAddr>,
+        keeper: &PeerHost<SocketAddr>,
         path: &'static str,
         message: Vec<u8>,
         timeout: Duration,
@@ -107,11 +107,11 @@
         Ok(tokio::time::timeout(timeout, asked).await??)
     }
 
-    fn answered(&self, keeper: &Candidate<SocketAddr>) {
+    fn answered(&self, keeper: &PeerHost<SocketAddr>) {
         self.avoidance.borrow_mut().answered(&keeper.host);
     }
 
-    fn avoid(&self, keeper: &Candidate<SocketAddr>, now: Duration, error: &KeeperError) {
+    fn avoid(&self, keeper: &PeerHost<SocketAddr>, now: Duration, error: &KeeperError) {
         let mut avoidance = self.avoidance.borrow_mut();
         if let Some(wait) = avoidance.silent(&keeper.host, &keeper.run, now) {
             let event = Event::new(EventKind::HistoryUntold).host(&keeper.host);
@@ -176,7 +176,7 @@
 /// continue from.
 async fn keep_at(
     gateway: &Gateway,
-    keeper: &Candidate<SocketAddr>,
+    keeper: &PeerHost<SocketAddr>,
     newest: &Turn,
     turns: impl Iterator<Item = &Turn>,
 ) -> Result<bool, KeeperError> {
