--- a/coordination/src/gateway.rs
+++ b/coordination/src/gateway.rs
@@ -16,8 +16,8 @@
 //! | what programs may spend while the store is unavailable | [`escrow`] | `spending`, by `escrow` |
 //! | which changes of programs become durable together | [`pending_changes`] | `commits` |
 //! | which hosts' transactions are joined into one | [`group_commit`] | `joined_commits` |
-//! | who joins the transactions of a partition | [`gatherers`] | `joined_commits` |
-//! | which hosts are left alone since they did not answer | [`avoidance`] | [`gatherers`], [`follow_tree`] |
+//! | which host batches the transactions of a partition | [`batchers`] | `joined_commits` |
+//! | which hosts are left alone since they did not answer | [`avoidance`] | [`batchers`], [`follow_tree`] |
 //! | whether a host reads a table of the store itself, or from which host | [`follow_tree`] | `feeds` |
 //! | what a host knows of a table, and what it tells its followers | [`replica`] | `feeds` |
 //! | what was said in earlier turns, and its rows in the store | [`history`] | `programs`, `turn_stream` |
@@ -37,12 +37,12 @@
 pub mod admission;
 pub mod attempt;
 pub mod avoidance;
+pub mod batchers;
 pub mod directory;
 pub mod escrow;
 pub mod event_series;
 pub mod fingerprint;
 pub mod follow_tree;
-pub mod gatherers;
 pub mod group_commit;
 pub mod history;
 pub mod identity;
--- a/coordination/src/gateway/gatherers.rs
+++ b/coordination/src/gateway/batchers.rs
@@ -62,12 +62,12 @@
 
 /// The hosts that may gather, as this one knows them.
 #[derive(Debug)]
-pub struct Gatherers<A> {
+pub struct Batchers<A> {
     candidates: Vec<PeerHost<A>>,
     avoidance: Avoidance,
 }
 
-impl<A> Default for Gatherers<A> {
+impl<A> Default for Batchers<A> {
     fn default() -> Self {
         Self {
             candidates: Vec::new(),
@@ -76,7 +76,7 @@
     }
 }
 
-impl<A> Gatherers<A> {
+impl<A> Batchers<A> {
     /// Takes all hosts that are there, this one among them.
     pub fn set(&mut self, hosts: Vec<PeerHost<A>>) {
         self.candidates = strong(hosts);
--- a/coordination/src/gateway/escrow/slots.rs
+++ b/coordination/src/gateway/escrow/slots.rs
@@ -22,7 +22,7 @@
 use super::hold_off::{DEMAND_TIME, Epoch, HOLD_OFF, HoldOffRow};
 use super::message::{Ask, ProgramAsk, Reply};
 use super::slot::{KEY_PREFIX, SlotId, SlotRow, SlotWrite};
-use crate::gateway::gatherers::{PeerHost, ranked_by, strong};
+use crate::gateway::batchers::{PeerHost, ranked_by, strong};
 use crate::gateway::ledger::Holder;
 
 /// How long a slot stays with an owner that is gone.
--- a/coordination/src/gateway/follow_tree.rs
+++ b/coordination/src/gateway/follow_tree.rs
@@ -13,7 +13,7 @@
 use rosebend_state::id::HostId;
 
 use crate::gateway::avoidance::Avoidance;
-use crate::gateway::gatherers::{PeerHost, least_strong_milli, ranked_by};
+use crate::gateway::batchers::{PeerHost, least_strong_milli, ranked_by};
 use crate::gateway::ledger::Holder;
 
 /// Hosts of an availability zone that read the store, so that one may fail.
--- a/coordination/src/gateway/limits.rs
+++ b/coordination/src/gateway/limits.rs
@@ -30,7 +30,7 @@
 use self::links::{Links, SILENT_AFTER};
 use self::message::{Answer, Ask};
 use self::stock::{Demand, Stock};
-use crate::gateway::gatherers::PeerHost;
+use crate::gateway::batchers::PeerHost;
 use crate::gateway::ledger::Holder;
 
 pub mod allocator;
--- a/coordination/src/gateway/limits/links.rs
+++ b/coordination/src/gateway/limits/links.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use super::{GROUPS, Group};
-use crate::gateway::gatherers::{PeerHost, ranked_by, strong};
+use crate::gateway::batchers::{PeerHost, ranked_by, strong};
 use crate::gateway::ledger::Holder;
 
 /// Silence after which an allocator is left for the next one, and after which it
--- a/coordination/src/gateway/recent_programs.rs
+++ b/coordination/src/gateway/recent_programs.rs
@@ -10,7 +10,7 @@
 
 use rosebend_state::deployment::{ProgramKey, Row, RowId};
 
-use crate::gateway::gatherers::{PeerHost, ranked_by};
+use crate::gateway::batchers::{PeerHost, ranked_by};
 use crate::gateway::history::{is_of_turn, partition_of, program_of};
 
 /// Most bytes that are kept: the programs of some seconds at several hundred turns a second.
--- a/coordination/tests/escrow_world/mod.rs
+++ b/coordination/tests/escrow_world/mod.rs
@@ -3,6 +3,7 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
+use rosebend_coordination::gateway::batchers::PeerHost;
 use rosebend_coordination::gateway::escrow::accounts::GrantRequest;
 use rosebend_coordination::gateway::escrow::first_grant_tokens;
 use rosebend_coordination::gateway::escrow::hold_off::HoldOffRow;
@@ -10,7 +11,6 @@
 use rosebend_coordination::gateway::escrow::slot::{SlotId, SlotRow, SlotWrite};
 use rosebend_coordination::gateway::escrow::slots::{Owner, Slots};
 use rosebend_coordination::gateway::escrow::terms::{ClosingAnswers, EscrowTerms};
-use rosebend_coordination::gateway::gatherers::PeerHost;
 use rosebend_coordination::gateway::history::partition_of;
 use rosebend_coordination::gateway::ledger::Ledger;
 use rosebend_coordination::gateway::pending_changes::{Answer, Change, Outcome, PendingChanges};
--- a/coordination/tests/follow_world/mod.rs
+++ b/coordination/tests/follow_world/mod.rs
@@ -6,8 +6,8 @@
 use rand::seq::SliceRandom;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
+use rosebend_coordination::gateway::batchers::PeerHost;
 use rosebend_coordination::gateway::follow_tree::{FollowTree, Source};
-use rosebend_coordination::gateway::gatherers::PeerHost;
 use rosebend_coordination::gateway::replica::{TableChanges, TableReplica};
 use rosebend_state::deployment::{Row, RowId, RowVersion};
 
--- a/coordination/tests/gateway_recent_programs.rs
+++ b/coordination/tests/gateway_recent_programs.rs
@@ -1,7 +1,7 @@
 //! What a host keeps of the programs that others of its availability zone have written.
 
 use proptest::prelude::*;
-use rosebend_coordination::gateway::gatherers::PeerHost;
+use rosebend_coordination::gateway::batchers::PeerHost;
 use rosebend_coordination::gateway::history::{ledger_row, partition_of};
 use rosebend_coordination::gateway::recent_programs::{RecentPrograms, keeper};
 use rosebend_state::deployment::{Row, RowId};
--- a/coordination/tests/limit_world/mod.rs
+++ b/coordination/tests/limit_world/mod.rs
@@ -8,7 +8,7 @@
 
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use rosebend_coordination::gateway::gatherers::PeerHost;
+use rosebend_coordination::gateway::batchers::PeerHost;
 use rosebend_coordination::gateway::limits::message::{Answer, Ask};
 use rosebend_coordination::gateway::limits::stock::Demand;
 use rosebend_coordination::gateway::limits::{Decision, HostLimits, Tolerance};
--- a/gateway/src/escrow.rs
+++ b/gateway/src/escrow.rs
@@ -17,10 +17,10 @@
 use std::rc::Rc;
 use std::time::Duration;
 
+use rosebend_coordination::gateway::batchers::PeerHost;
 use rosebend_coordination::gateway::escrow::message::{Answer, Ask, Question, Reply};
 use rosebend_coordination::gateway::escrow::slot::{SlotId, SlotRow, SlotWrite};
 use rosebend_coordination::gateway::escrow::slots::{Owner, Slots};
-use rosebend_coordination::gateway::gatherers::PeerHost;
 use rosebend_coordination::gateway::ledger::Holder;
 use rosebend_state::deployment::{Condition, Row, RowId, RowWrite, Transaction};
 use rosebend_transport::event::{Event, EventKind, log_event};
--- a/gateway/src/escrow/giving_up.rs
+++ b/gateway/src/escrow/giving_up.rs
@@ -4,9 +4,9 @@
 use std::time::Duration;
 
 use futures_util::future::join_all;
+use rosebend_coordination::gateway::batchers::PeerHost;
 use rosebend_coordination::gateway::escrow::message::{Ask, Reply};
 use rosebend_coordination::gateway::escrow::slot::{SlotId, SlotWrite};
-use rosebend_coordination::gateway::gatherers::PeerHost;
 use rosebend_coordination::gateway::ledger::Holder;
 use rosebend_state::deployment::RowId;
 use rosebend_transport::event::{Event, EventKind, log_event};
--- a/gateway/src/feeds.rs
+++ b/gateway/src/feeds.rs
@@ -21,8 +21,8 @@
 use std::time::Duration;
 
 use futures_util::future::try_join_all;
+use rosebend_coordination::gateway::batchers::PeerHost;
 use rosebend_coordination::gateway::follow_tree::{FollowTree, Source};
-use rosebend_coordination::gateway::gatherers::PeerHost;
 use rosebend_coordination::gateway::replica::{TableChanges, TableReplica};
 use rosebend_protocol::follow::FollowAnswer;
 use rosebend_state::deployment::{Row, RowRange, RowVersion};
--- a/gateway/src/feeds/ask.rs
+++ b/gateway/src/feeds/ask.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use rosebend_coordination::gateway::gatherers::PeerHost;
+use rosebend_coordination::gateway::batchers::PeerHost;
 use rosebend_protocol::follow::{
     FollowAnswer, FollowError, FollowRequest, decode_answer, encode_request,
 };
--- a/gateway/src/holders.rs
+++ b/gateway/src/holders.rs
@@ -4,7 +4,7 @@
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
-use rosebend_coordination::gateway::gatherers::PeerHost;
+use rosebend_coordination::gateway::batchers::PeerHost;
 use rosebend_coordination::gateway::ledger::Holder;
 
 /// Addresses of runs that are not in the table of gateways here, at most; about 100
--- a/gateway/src/joined_commits.rs
+++ b/gateway/src/joined_commits.rs
@@ -16,7 +16,7 @@
 
 use futures_util::StreamExt;
 use futures_util::stream::FuturesUnordered;
-use rosebend_coordination::gateway::gatherers::{Gatherers, PeerHost};
+use rosebend_coordination::gateway::batchers::{Batchers, PeerHost};
 use rosebend_coordination::gateway::group_commit::{GroupCommit, LateId, PartId, pace};
 use rosebend_coordination::gateway::history::PARTITIONS;
 use rosebend_coordination::gateway::ledger::Holder;
@@ -68,7 +68,7 @@
     clock: Clock,
     /// Least time between two transactions of a partition.
     pace: Cell<Duration>,
-    gatherers: RefCell<Gatherers<SocketAddr>>,
+    gatherers: RefCell<Batchers<SocketAddr>>,
     /// How long a gatherer that has a transaction may take to say how it ended,
     /// before the next way is tried, too; four times what it took lately.
     timeout: Cell<Duration>,
--- a/gateway/src/joined_commits/ask.rs
+++ b/gateway/src/joined_commits/ask.rs
@@ -8,7 +8,7 @@
 use actix_http::body::{BodyStream, BoxBody, MessageBody};
 use actix_http::{Response, StatusCode};
 use bytes::Bytes;
-use rosebend_coordination::gateway::gatherers::PeerHost;
+use rosebend_coordination::gateway::batchers::PeerHost;
 use rosebend_coordination::gateway::history::partitions;
 use rosebend_coordination::gateway::ledger::Holder;
 use rosebend_protocol::commit::{
--- a/gateway/src/limits.rs
+++ b/gateway/src/limits.rs
@@ -10,7 +10,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use rosebend_coordination::gateway::gatherers::PeerHost;
+use rosebend_coordination::gateway::batchers::PeerHost;
 use rosebend_coordination::gateway::ledger::Holder;
 use rosebend_coordination::gateway::limits::message::{Answer, Ask};
 use rosebend_coordination::gateway::limits::stock::Demand;
--- a/gateway/src/peers/table.rs
+++ b/gateway/src/peers/table.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-use rosebend_coordination::gateway::gatherers::PeerHost;
+use rosebend_coordination::gateway::batchers::PeerHost;
 use rosebend_coordination::gateway::ledger::Holder;
 use rosebend_state::deployment::Row;
 use rosebend_state::id::AvailabilityZone;
--- a/gateway/src/recent_history.rs
+++ b/gateway/src/recent_history.rs
@@ -15,7 +15,7 @@
 use actix_http::{Response, StatusCode};
 use bytes::Bytes;
 use rosebend_coordination::gateway::avoidance::Avoidance;
-use rosebend_coordination::gateway::gatherers::{PeerHost, strong};
+use rosebend_coordination::gateway::batchers::{PeerHost, strong};
 use rosebend_coordination::gateway::history::Turn;
 use rosebend_coordination::gateway::ledger::Holder;
 use rosebend_coordination::gateway::recent_programs::{RecentPrograms, keeper};
