--- a/coordination/src/gateway.rs
+++ b/coordination/src/gateway.rs
@@ -17,7 +17,7 @@
 //! | which changes of programs become durable together | [`pending_changes`] | `commits` |
 //! | which hosts' transactions are joined into one | [`group_commit`] | `joined_commits` |
 //! | which host batches the transactions of a partition | [`batchers`] | `joined_commits` |
-//! | which hosts are left alone since they did not answer | [`avoidance`] | [`batchers`], [`follow_tree`] |
+//! | which hosts are not asked for a while since they did not answer | [`host_backoff`] | [`batchers`], [`follow_tree`] |
 //! | whether a host reads a table of the store itself, or from which host | [`follow_tree`] | `feeds` |
 //! | what a host knows of a table, and what it tells its followers | [`replica`] | `feeds` |
 //! | what was said in earlier turns, and its rows in the store | [`history`] | `programs`, `turn_stream` |
@@ -36,7 +36,6 @@
 
 pub mod admission;
 pub mod attempt;
-pub mod avoidance;
 pub mod batchers;
 pub mod directory;
 pub mod escrow;
@@ -45,6 +44,7 @@
 pub mod follow_tree;
 pub mod group_commit;
 pub mod history;
+pub mod host_backoff;
 pub mod identity;
 pub mod ledger;
 pub mod limits;
--- a/coordination/src/gateway/batchers.rs
+++ b/coordination/src/gateway/batchers.rs
@@ -1,110 +1,118 @@
-//! Which host joins the transactions of a partition.
+//! Selection of the host that batches the transactions of a partition.
 //!
-//! Every host works it out by itself from the hosts that it knows: those strong
-//! enough, in the order of a hash of partition and host (rendezvous hashing), so
-//! that hosts which know the same choose the same, and one host that comes or
-//! goes moves no partition but its own. Hosts that know different lists, or of
-//! which one has just found a host silent, choose differently for a while; then
-//! two hosts join the same partition, and each joins less.
+//! A batcher combines the transactions that other hosts send to it into one. Every
+//! host selects the batchers of a partition by itself from the hosts that it knows:
+//! it takes those with enough CPU, in the order of a hash of partition and host
+//! (rendezvous hashing). Hosts that know the same hosts therefore select the same
+//! batchers, and a host that joins or leaves moves only its own partitions. Hosts
+//! that know different lists, or one of which has just recorded a timeout of a host,
+//! select different batchers for a while. Two hosts then batch the same partition,
+//! each with fewer transactions per batch.
 
 use std::time::Duration;
 
 use rosebend_state::id::HostId;
 use rosebend_util::hash_parts;
 
-use crate::gateway::avoidance::Avoidance;
+use crate::gateway::host_backoff::HostBackoff;
 use crate::gateway::ledger::Holder;
 
-/// Hosts that are asked for one transaction, one after another, before it goes to
-/// the store straight. With a third of all hosts cut off, both are in one of
-/// nine.
-const MAX_ASKED: usize = 2;
-/// The share of the strongest host's processor, as one in so many, that a host
-/// needs to gather for others: weaker hosts serve as many callers of their own.
-const STRONG_SHARE: u32 = 2;
-/// Another gateway host as this one knows it.
+/// Maximum number of batchers that one transaction is sent to, one after another,
+/// before it goes to the store directly. If a third of all hosts is unreachable, both
+/// batchers are unreachable for one partition in nine.
+const MAX_BATCHERS_ASKED: usize = 2;
+/// A host needs at least the CPU of the largest host, divided by this number, to work
+/// for other hosts. Hosts with less CPU serve as many callers of their own.
+const HIGH_CPU_DIVISOR: u32 = 2;
+/// A gateway host as this one knows it.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct PeerHost<A> {
     /// Its name, which is the same after a restart.
     pub host: HostId,
-    /// The run of its process: another one is not avoided for what this one did.
-    pub run: Holder,
-    /// Where it answers.
+    /// Its present process. A later process of the host is not subject to the backoff of
+    /// this one.
+    pub process: Holder,
+    /// The address at which it accepts requests of other hosts.
     pub address: A,
     /// Its share of a processor, in thousandths of a core.
     pub processor_milli: u32,
 }
 
-/// The least share of a processor, in thousandths of a core, of a host that works for
-/// others.
-pub fn least_strong_milli<A>(hosts: &[PeerHost<A>]) -> u32 {
-    let strongest = hosts.iter().map(|host| host.processor_milli).max();
-    strongest.unwrap_or(0) / STRONG_SHARE
+/// Returns the minimum share of a processor, in thousandths of a core, of a host that
+/// works for others.
+pub fn min_high_cpu_milli<A>(hosts: &[PeerHost<A>]) -> u32 {
+    let largest = hosts.iter().map(|host| host.processor_milli).max();
+    largest.unwrap_or(0) / HIGH_CPU_DIVISOR
 }
 
-/// Those hosts that are strong enough to work for others.
-pub fn strong<A>(hosts: Vec<PeerHost<A>>) -> Vec<PeerHost<A>> {
-    let least = least_strong_milli(&hosts);
-    let strong = hosts.into_iter();
-    let strong = strong.filter(|host| host.processor_milli >= least);
-    strong.collect()
+/// Returns the hosts that have enough CPU to work for others.
+pub fn high_cpu_hosts<A>(hosts: Vec<PeerHost<A>>) -> Vec<PeerHost<A>> {
+    let min_milli = min_high_cpu_milli(&hosts);
+    let high_cpu = hosts.into_iter();
+    let high_cpu = high_cpu.filter(|host| host.processor_milli >= min_milli);
+    high_cpu.collect()
 }
 
-/// Hosts in the order in which they are to do what `work` names.
-pub fn ranked_by<'a, A>(
-    work: &str,
+/// Returns the hosts ordered by the rendezvous hash of `seed` and the host, best first.
+pub fn rank_hosts<'a, A>(
+    seed: &str,
     hosts: impl Iterator<Item = &'a PeerHost<A>>,
 ) -> Vec<&'a PeerHost<A>> {
     let mut ranked: Vec<&PeerHost<A>> = hosts.collect();
-    ranked.sort_by_key(|host| hash_parts(&[work.as_bytes(), host.host.as_bytes()]));
+    ranked.sort_by_key(|host| hash_parts(&[seed.as_bytes(), host.host.as_bytes()]));
     ranked
 }
 
-/// The hosts that may gather, as this one knows them.
+/// The hosts that may batch transactions, as this host knows them.
 #[derive(Debug)]
 pub struct Batchers<A> {
-    candidates: Vec<PeerHost<A>>,
-    avoidance: Avoidance,
+    batchers: Vec<PeerHost<A>>,
+    backoff: HostBackoff,
 }
 
 impl<A> Default for Batchers<A> {
     fn default() -> Self {
         Self {
-            candidates: Vec::new(),
-            avoidance: Avoidance::default(),
+            batchers: Vec::new(),
+            backoff: HostBackoff::default(),
         }
     }
 }
 
 impl<A> Batchers<A> {
-    /// Takes all hosts that are there, this one among them.
-    pub fn set(&mut self, hosts: Vec<PeerHost<A>>) {
-        self.candidates = strong(hosts);
-        let candidates = &self.candidates;
-        self.avoidance
-            .retain(|host| candidates.iter().any(|known| known.host == *host));
+    /// Replaces the known hosts. `hosts` are all present hosts, including this one.
+    pub fn set_hosts(&mut self, hosts: Vec<PeerHost<A>>) {
+        self.batchers = high_cpu_hosts(hosts);
+        let batchers = &self.batchers;
+        self.backoff
+            .retain(|host| batchers.iter().any(|known| known.host == *host));
     }
 
-    /// The hosts to ask for a partition's transaction, best first.
+    /// Returns the hosts to send a partition's transaction to, best first.
     pub fn ranked(&self, partition: &str, now: Duration) -> Vec<&PeerHost<A>> {
-        let candidates = self.candidates.iter();
-        let usable = candidates.filter(|candidate| {
-            let run = &candidate.run;
-            !self.avoidance.is_avoided(&candidate.host, run, now)
+        let batchers = self.batchers.iter();
+        let usable = batchers.filter(|batcher| {
+            let process = &batcher.process;
+            !self.backoff.is_backed_off(&batcher.host, process, now)
         });
-        let mut ranked = ranked_by(partition, usable);
-        ranked.truncate(MAX_ASKED);
+        let mut ranked = rank_hosts(partition, usable);
+        ranked.truncate(MAX_BATCHERS_ASKED);
         ranked
     }
 
-    /// Notes that a run of a host did not answer. Returns for how long it is not
-    /// asked; none when that is known already.
-    pub fn silent(&mut self, host: &HostId, run: &Holder, now: Duration) -> Option<Duration> {
-        self.avoidance.silent(host, run, now)
+    /// Records that a process of a host did not answer. Returns the backoff that begins
+    /// now, or `None` if an earlier one has not ended yet.
+    pub fn record_timeout(
+        &mut self,
+        host: &HostId,
+        process: &Holder,
+        now: Duration,
+    ) -> Option<Duration> {
+        self.backoff.record_timeout(host, process, now)
     }
 
-    /// Notes that a host answered.
-    pub fn answered(&mut self, host: &HostId) {
-        self.avoidance.answered(host);
+    /// Records that a host answered, which ends its backoff.
+    pub fn record_response(&mut self, host: &HostId) {
+        self.backoff.record_response(host);
     }
 }
--- a/coordination/src/gateway/escrow/slots.rs
+++ b/coordination/src/gateway/escrow/slots.rs
@@ -22,7 +22,7 @@
 use super::hold_off::{DEMAND_TIME, Epoch, HOLD_OFF, HoldOffRow};
 use super::message::{Ask, ProgramAsk, Reply};
 use super::slot::{KEY_PREFIX, SlotId, SlotRow, SlotWrite};
-use crate::gateway::batchers::{PeerHost, ranked_by, strong};
+use crate::gateway::batchers::{PeerHost, high_cpu_hosts, rank_hosts};
 use crate::gateway::ledger::Holder;
 
 /// How long a slot stays with an owner that is gone.
@@ -135,7 +135,7 @@
     /// Takes all hosts that are there, this one among them.
     pub fn set_hosts(&mut self, hosts: Vec<PeerHost<A>>, all_withhold: bool, now: Duration) {
         let runs = |hosts: &[PeerHost<A>]| -> Vec<Holder> {
-            hosts.iter().map(|host| host.run.clone()).collect()
+            hosts.iter().map(|host| host.process.clone()).collect()
         };
         if runs(&hosts) != runs(&self.hosts) {
             self.hosts_changed_at = now;
@@ -187,7 +187,7 @@
     }
 
     fn host(&self, run: &Holder) -> Option<&PeerHost<A>> {
-        self.hosts.iter().find(|host| host.run == *run)
+        self.hosts.iter().find(|host| host.process == *run)
     }
 
     /// Number of slots whose owner is among the hosts.
@@ -410,7 +410,7 @@
     }
 
     fn note_missing(&mut self, now: Duration) {
-        let runs: Vec<&Holder> = self.hosts.iter().map(|host| &host.run).collect();
+        let runs: Vec<&Holder> = self.hosts.iter().map(|host| &host.process).collect();
         for known in self.known.values_mut() {
             let is_missing = known.owner().is_some_and(|owner| !runs.contains(&owner));
             match is_missing {
@@ -443,9 +443,12 @@
     /// The run that takes a slot that is free: the first in the partition's order
     /// that does not own the other slot.
     fn next_owner(&self, slot: &SlotId) -> Option<&Holder> {
-        let hosts = strong(self.hosts.clone());
-        let ranked = ranked_by(&format!("{KEY_PREFIX}{}", slot.partition), hosts.iter());
-        let ranked: Vec<Holder> = ranked.into_iter().map(|host| host.run.clone()).collect();
+        let hosts = high_cpu_hosts(self.hosts.clone());
+        let ranked = rank_hosts(&format!("{KEY_PREFIX}{}", slot.partition), hosts.iter());
+        let ranked: Vec<Holder> = ranked
+            .into_iter()
+            .map(|host| host.process.clone())
+            .collect();
         let mut taken = Vec::new();
         for other in SlotId::of(&slot.partition) {
             let owner = self.known.get(&other).and_then(Known::owner);
@@ -456,7 +459,7 @@
                 _ => ranked.iter().find(is_free).or(ranked.first()).cloned(),
             };
             if other == *slot {
-                return self.host(&next?).map(|host| &host.run);
+                return self.host(&next?).map(|host| &host.process);
             }
             taken.extend(next);
         }
@@ -518,23 +521,25 @@
     /// The hosts that may take a slot over from this run, which stops, in the order in
     /// which they are asked. Those that own the partition's other slots come last.
     pub fn successors(&self, slot: &SlotId) -> Vec<PeerHost<A>> {
-        let hosts = strong(self.hosts.clone());
-        let ranked = ranked_by(&format!("{KEY_PREFIX}{}", slot.partition), hosts.iter());
+        let hosts = high_cpu_hosts(self.hosts.clone());
+        let ranked = rank_hosts(&format!("{KEY_PREFIX}{}", slot.partition), hosts.iter());
         let others = SlotId::of(&slot.partition).filter(|other| other != slot);
         let others: Vec<&Holder> = others
             .filter_map(|other| self.known.get(&other)?.owner())
             .collect();
         let mut ranked: Vec<&PeerHost<A>> = ranked
             .into_iter()
-            .filter(|host| host.run != self.own_run)
+            .filter(|host| host.process != self.own_run)
             .collect();
         // Stable: otherwise they stay in their order.
-        ranked.sort_by_key(|host| others.contains(&&host.run));
+        ranked.sort_by_key(|host| others.contains(&&host.process));
         ranked.into_iter().cloned().collect()
     }
 
     /// Other hosts.
     pub fn peers(&self) -> impl Iterator<Item = &PeerHost<A>> {
-        self.hosts.iter().filter(|host| host.run != self.own_run)
+        self.hosts
+            .iter()
+            .filter(|host| host.process != self.own_run)
     }
 }
--- a/coordination/src/gateway/limits.rs
+++ b/coordination/src/gateway/limits.rs
@@ -133,7 +133,7 @@
     /// Takes all hosts that are there, this one among them.
     pub fn set_hosts(&mut self, hosts: Vec<PeerHost<A>>) {
         self.hosts = hosts.len();
-        self.runs = hosts.iter().map(|host| host.run.clone()).collect();
+        self.runs = hosts.iter().map(|host| host.process.clone()).collect();
         self.links.set_hosts(hosts);
     }
 
@@ -182,7 +182,7 @@
     /// What a refusal was decided by.
     pub fn facts(&self, customer: &str, now: Duration) -> Facts {
         let allocator = self.links.current(group_of(customer), now);
-        let run = allocator.map(|allocator| allocator.run.clone());
+        let run = allocator.map(|allocator| allocator.process.clone());
         let heard_ms = run.as_ref().and_then(|run| self.links.heard_ms(run, now));
         Facts {
             served: self.stocks.get(customer).map_or(0, Stock::served),
@@ -217,7 +217,7 @@
         for (allocator, groups) in self.links.to_tell(now) {
             let names = groups.iter().flat_map(|group| due.remove(group));
             let names: Vec<CustomerName> = names.flatten().collect();
-            let is_due = self.links.is_due(&allocator.run, now);
+            let is_due = self.links.is_due(&allocator.process, now);
             if names.is_empty() && is_due {
                 asks.extend(self.ask(groups, &allocator, &[], now));
                 continue;
@@ -248,20 +248,20 @@
         names: &[CustomerName],
         now: Duration,
     ) -> Option<(A, Ask)> {
-        let number = self.links.say(&allocator.run, now);
+        let number = self.links.say(&allocator.process, now);
         let stocks = names.iter().filter_map(|name| {
             let stock = self.stocks.get_mut(name)?;
             Some(stock.ask(name, number, now))
         });
         let ask = Ask {
             from: self.own_run.clone(),
-            to: allocator.run.clone(),
+            to: allocator.process.clone(),
             number,
             groups,
-            heard_ms: self.links.heard_ms(&allocator.run, now),
+            heard_ms: self.links.heard_ms(&allocator.process, now),
             customers: stocks.collect(),
         };
-        if allocator.run != self.own_run {
+        if allocator.process != self.own_run {
             return Some((allocator.address.clone(), ask));
         }
         let answer = self.allocate(&ask, now);
--- a/coordination/src/gateway/limits/links.rs
+++ b/coordination/src/gateway/limits/links.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use super::{GROUPS, Group};
-use crate::gateway::batchers::{PeerHost, ranked_by, strong};
+use crate::gateway::batchers::{PeerHost, high_cpu_hosts, rank_hosts};
 use crate::gateway::ledger::Holder;
 
 /// Silence after which an allocator is left for the next one, and after which it
@@ -54,11 +54,11 @@
     /// Takes all hosts that are there, this one among them.
     pub fn set_hosts(&mut self, hosts: Vec<PeerHost<A>>) {
         self.links
-            .retain(|run, _| hosts.iter().any(|host| host.run == *run));
-        let hosts = strong(hosts);
+            .retain(|run, _| hosts.iter().any(|host| host.process == *run));
+        let hosts = high_cpu_hosts(hosts);
         let ranked = (0..GROUPS).map(|group| {
             let name = format!("limits/{group}");
-            let ranked = ranked_by(&name, hosts.iter()).into_iter();
+            let ranked = rank_hosts(&name, hosts.iter()).into_iter();
             ranked.take(MAX_TRIED).cloned().collect()
         });
         self.ranked = ranked.collect();
@@ -67,7 +67,9 @@
     /// The allocator of a group; none when all have been silent.
     pub fn current(&self, group: Group, now: Duration) -> Option<&PeerHost<A>> {
         let ranked = self.ranked.get(usize::try_from(group).ok()?)?;
-        ranked.iter().find(|host| !self.is_silent(&host.run, now))
+        ranked
+            .iter()
+            .find(|host| !self.is_silent(&host.process, now))
     }
 
     /// All allocators that are to be told something, with the groups for which
@@ -76,10 +78,12 @@
     pub fn to_tell(&self, now: Duration) -> Vec<(PeerHost<A>, Vec<Group>)> {
         let mut told: Vec<(PeerHost<A>, Vec<Group>)> = Vec::new();
         for group in 0..GROUPS {
-            let current = self.current(group, now).map(|host| &host.run);
+            let current = self.current(group, now).map(|host| &host.process);
             for host in self.ranked.get(group as usize).into_iter().flatten() {
-                let is_current = current == Some(&host.run);
-                let index = told.iter().position(|(known, _)| known.run == host.run);
+                let is_current = current == Some(&host.process);
+                let index = told
+                    .iter()
+                    .position(|(known, _)| known.process == host.process);
                 let index = index.unwrap_or_else(|| {
                     told.push((host.clone(), Vec::new()));
                     told.len() - 1
@@ -97,7 +101,7 @@
     /// silent; none when all have been.
     pub fn left(&self, group: Group, now: Duration) -> Option<Duration> {
         let current = self.current(group, now)?;
-        Some(SILENT_AFTER.saturating_sub(self.silence(&current.run, now)))
+        Some(SILENT_AFTER.saturating_sub(self.silence(&current.process, now)))
     }
 
     fn is_silent(&self, run: &Holder, now: Duration) -> bool {
--- a/coordination/src/gateway/recent_programs.rs
+++ b/coordination/src/gateway/recent_programs.rs
@@ -10,7 +10,7 @@
 
 use rosebend_state::deployment::{ProgramKey, Row, RowId};
 
-use crate::gateway::batchers::{PeerHost, ranked_by};
+use crate::gateway::batchers::{PeerHost, rank_hosts};
 use crate::gateway::history::{is_of_turn, partition_of, program_of};
 
 /// Most bytes that are kept: the programs of some seconds at several hundred turns a second.
@@ -95,7 +95,7 @@
     hosts: impl Iterator<Item = &'a PeerHost<A>>,
 ) -> Option<&'a PeerHost<A>> {
     let work = format!("history/{}", partition_of(program));
-    ranked_by(&work, hosts).into_iter().next()
+    rank_hosts(&work, hosts).into_iter().next()
 }
 
 fn bytes_of(row: &Row) -> usize {
--- a/coordination/tests/escrow_world/mod.rs
+++ b/coordination/tests/escrow_world/mod.rs
@@ -129,7 +129,7 @@
         }
         let candidates = self.hosts.iter().enumerate().map(|(index, host)| PeerHost {
             host: format!("host-{index}"),
-            run: host.run.clone(),
+            process: host.run.clone(),
             address: index,
             processor_milli: 500,
         });
@@ -322,7 +322,7 @@
         let from = self.hosts[host].run.clone();
         for successor in self.hosts[host].slots.successors(slot) {
             let to = successor.address;
-            let is_there = self.hosts[to].run == successor.run;
+            let is_there = self.hosts[to].run == successor.process;
             let is_cut = self.hosts[to].is_cut || self.hosts[host].is_cut;
             if is_there && !is_cut {
                 let reply = self.hosts[to]
--- a/coordination/tests/follow_world/mod.rs
+++ b/coordination/tests/follow_world/mod.rs
@@ -30,7 +30,7 @@
 pub fn candidate(index: usize) -> PeerHost<usize> {
     PeerHost {
         host: format!("host-{index}"),
-        run: format!("host-{index}/a"),
+        process: format!("host-{index}/a"),
         address: index,
         processor_milli: if index % 3 == 2 { 90 } else { 500 },
     }
@@ -255,7 +255,7 @@
             .apply(news, now.saturating_sub(age), |_, _| false);
         assert!(host.replica.version() >= before, "a host went back");
         if age <= STALE_AFTER {
-            host.tree.answered(&asked.host);
+            host.tree.record_response(&asked.host);
         } else if host.fault != Some(Fault::CutFromStore) {
             self.read_store(index);
             self.give_up(index, asked);
@@ -265,7 +265,7 @@
     fn give_up(&mut self, index: usize, asked: &PeerHost<usize>) {
         let now = self.now;
         let host = &mut self.hosts[index];
-        host.tree.silent(&asked.host, &asked.run, now);
+        host.tree.record_timeout(&asked.host, &asked.process, now);
         host.asking = Asking::Nobody { until: now };
     }
 }
--- a/coordination/tests/gateway_follow_tree.rs
+++ b/coordination/tests/gateway_follow_tree.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use follow_world::{Fault, World, ZONES, candidate};
-use rosebend_coordination::gateway::follow_tree::{FollowTree, MAX_FOLLOWERS, READERS, Source};
+use rosebend_coordination::gateway::follow_tree::{FollowTree, MAX_CHILDREN, READERS, Source};
 
 const NOW: Duration = Duration::from_secs(100);
 
@@ -48,7 +48,7 @@
             }
         }
         let most = followers.values().max().copied().unwrap_or(0);
-        assert!(most <= MAX_FOLLOWERS, "{count} hosts: {most} followers");
+        assert!(most <= MAX_CHILDREN, "{count} hosts: {most} followers");
         let deepest = sources.keys().map(|host| depth(&sources, host)).max();
         assert!(deepest <= Some(3), "{count} hosts: {deepest:?} levels");
     }
@@ -86,7 +86,7 @@
     let mut passed = Vec::new();
     while let Source::Host(above) = tree.source(NOW) {
         assert!(!passed.contains(&above.host));
-        tree.silent(&above.host, &above.run, NOW);
+        tree.record_timeout(&above.host, &above.process, NOW);
         passed.push(above.host);
     }
     // The host above, the one above that, and the other reader.
--- a/coordination/tests/gateway_recent_programs.rs
+++ b/coordination/tests/gateway_recent_programs.rs
@@ -72,7 +72,7 @@
     let hosts: Vec<PeerHost<usize>> = (0..125)
         .map(|number| PeerHost {
             host: format!("host-{number}"),
-            run: format!("host-{number}/1"),
+            process: format!("host-{number}/1"),
             address: number,
             processor_milli: 500,
         })
--- a/coordination/tests/limit_world/mod.rs
+++ b/coordination/tests/limit_world/mod.rs
@@ -207,7 +207,7 @@
         let candidates = self.hosts.iter().enumerate();
         let candidates = candidates.map(|(index, host)| PeerHost {
             host: format!("host-{index}"),
-            run: run(index, host.runs),
+            process: run(index, host.runs),
             address: index,
             processor_milli: if index % 2 == 0 { 500 } else { 90 },
         });
--- a/gateway/src/escrow.rs
+++ b/gateway/src/escrow.rs
@@ -348,7 +348,7 @@
         for peer in slots.peers() {
             // One that does not hear it grants by the other slot.
             let moved = Ask::Moved(question.from.clone());
-            let moved = escrow.question(&peer.run, &question.slot, moved);
+            let moved = escrow.question(&peer.process, &question.slot, moved);
             escrow.send(peer.address, &Message::Question(moved));
         }
     }
--- a/gateway/src/escrow/giving_up.rs
+++ b/gateway/src/escrow/giving_up.rs
@@ -113,9 +113,12 @@
     async fn successor(&self, slot: &SlotId) -> Option<Holder> {
         let mut candidates = self.slots.borrow().successors(slot);
         candidates.truncate(MAX_ASKED);
-        for PeerHost { run, address, .. } in candidates {
-            if self.ask_run(&run, address, slot, Ask::Accept).await == Some(Reply::Noted) {
-                return Some(run);
+        for PeerHost {
+            process, address, ..
+        } in candidates
+        {
+            if self.ask_run(&process, address, slot, Ask::Accept).await == Some(Reply::Noted) {
+                return Some(process);
             }
         }
         None
@@ -124,6 +127,6 @@
     fn address_of(&self, run: &Holder) -> Option<SocketAddr> {
         let slots = self.slots.borrow();
         let mut peers = slots.peers();
-        Some(peers.find(|host| host.run == *run)?.address)
+        Some(peers.find(|host| host.process == *run)?.address)
     }
 }
--- a/gateway/src/feeds.rs
+++ b/gateway/src/feeds.rs
@@ -229,7 +229,10 @@
 
     fn avoid(&self, host: &PeerHost<SocketAddr>, reason: &'static str) {
         let now = self.clock.now();
-        let wait = self.tree.borrow_mut().silent(&host.host, &host.run, now);
+        let wait = self
+            .tree
+            .borrow_mut()
+            .record_timeout(&host.host, &host.process, now);
         if let Some(wait) = wait {
             let event = Event::new(EventKind::FeedSourceAvoided).host(&host.host);
             log_event(&event.wait_ms(whole_ms(wait)).reason(reason));
@@ -258,7 +261,7 @@
             followed = self.apply(table, changes, current_at);
         }
         if !is_stale {
-            self.tree.borrow_mut().answered(&host.host);
+            self.tree.borrow_mut().record_response(&host.host);
             self.metrics.count_feed(FeedSource::Host);
             return Ok(followed);
         }
@@ -317,7 +320,7 @@
     }
 
     fn store_wait(&self, table: FollowedTable) -> Duration {
-        table.store_wait(self.tree.borrow().has_followers())
+        table.store_wait(self.tree.borrow().has_children())
     }
 
     /// Reads all rows of a table. The version is the least of all partitions', so that
--- a/gateway/src/feeds/ask.rs
+++ b/gateway/src/feeds/ask.rs
@@ -57,7 +57,7 @@
     ) -> Result<Answered, AskError> {
         let latest = self.clock.now() + wait + ANSWER_TIMEOUT;
         let question = encode_request(&FollowRequest {
-            asked_run: host.run.clone(),
+            asked_run: host.process.clone(),
             table: table.name().to_owned(),
             after: self.version(table),
             wait,
--- a/gateway/src/holders.rs
+++ b/gateway/src/holders.rs
@@ -31,7 +31,7 @@
     /// one's row from the store when it first meets its reservations.
     pub fn set_hosts(&self, hosts: &[PeerHost<SocketAddr>]) {
         let hosts = hosts.iter();
-        let listed = hosts.map(|host| (host.run.clone(), host.address));
+        let listed = hosts.map(|host| (host.process.clone(), host.address));
         self.listed.replace(listed.collect());
     }
 
--- a/gateway/src/joined_commits.rs
+++ b/gateway/src/joined_commits.rs
@@ -125,7 +125,7 @@
     pub fn set_hosts(&self, hosts: Vec<PeerHost<SocketAddr>>) {
         let is_there = |address: &SocketAddr| hosts.iter().any(|host| host.address == *address);
         self.connections.retain(is_there);
-        self.gatherers.borrow_mut().set(hosts);
+        self.gatherers.borrow_mut().set_hosts(hosts);
     }
 
     /// Parts that wait here for the store, of all hosts.
@@ -190,7 +190,7 @@
         }
         let gatherers = self.gatherers.borrow();
         for candidate in gatherers.ranked(partition_of(transaction), self.clock.now()) {
-            if candidate.run == self.own_run {
+            if candidate.process == self.own_run {
                 break;
             }
             ways.push(Way::By(candidate.clone()));
@@ -251,7 +251,7 @@
         let took = self.clock.now().saturating_sub(asked_at);
         self.timeout.set(next_timeout(self.timeout.get(), took));
         if matches!(committed, Committed::Applied(_) | Committed::Conflict(_)) {
-            self.gatherers.borrow_mut().answered(&candidate.host);
+            self.gatherers.borrow_mut().record_response(&candidate.host);
             self.store
                 .note_partition_answered(partition_of(transaction));
         }
@@ -279,7 +279,7 @@
     fn avoid(&self, candidate: &PeerHost<SocketAddr>, reason: &'static str) {
         let now = self.clock.now();
         let mut gatherers = self.gatherers.borrow_mut();
-        if let Some(wait) = gatherers.silent(&candidate.host, &candidate.run, now) {
+        if let Some(wait) = gatherers.record_timeout(&candidate.host, &candidate.process, now) {
             let event = Event::new(EventKind::GathererAvoided).host(&candidate.host);
             log_event(&event.wait_ms(whole_ms(wait)).reason(reason));
         }
--- a/gateway/src/joined_commits/ask.rs
+++ b/gateway/src/joined_commits/ask.rs
@@ -58,7 +58,7 @@
     transaction: &Transaction,
     accepted: &Cell<bool>,
 ) -> Result<Committed, AskError> {
-    let question = encode_request(&gatherer.run, transaction);
+    let question = encode_request(&gatherer.process, transaction);
     let answer = connections.ask(gatherer.address, PATH, question, accepted);
     Ok(decode_committed(&answer.await?)?)
 }
--- a/gateway/src/peers/table.rs
+++ b/gateway/src/peers/table.rs
@@ -101,7 +101,7 @@
 fn candidate(peer: &PeerRow) -> PeerHost<SocketAddr> {
     PeerHost {
         host: peer.host.clone(),
-        run: peer.holder.clone(),
+        process: peer.holder.clone(),
         address: peer.relay,
         processor_milli: peer.processor_milli,
     }
--- a/gateway/src/recent_history.rs
+++ b/gateway/src/recent_history.rs
@@ -14,9 +14,9 @@
 use actix_http::body::{BoxBody, MessageBody};
 use actix_http::{Response, StatusCode};
 use bytes::Bytes;
-use rosebend_coordination::gateway::avoidance::Avoidance;
-use rosebend_coordination::gateway::batchers::{PeerHost, strong};
+use rosebend_coordination::gateway::batchers::{PeerHost, high_cpu_hosts};
 use rosebend_coordination::gateway::history::Turn;
+use rosebend_coordination::gateway::host_backoff::HostBackoff;
 use rosebend_coordination::gateway::ledger::Holder;
 use rosebend_coordination::gateway::recent_programs::{RecentPrograms, keeper};
 use rosebend_protocol::recent::{
@@ -45,7 +45,7 @@
 pub struct RecentHistory {
     own_run: Holder,
     hosts: RefCell<Vec<PeerHost<SocketAddr>>>,
-    avoidance: RefCell<Avoidance>,
+    avoidance: RefCell<HostBackoff>,
     programs: RefCell<RecentPrograms>,
     connections: PeerConnections,
 }
@@ -75,7 +75,7 @@
 
     /// Takes the hosts of the availability zone, this one among them.
     pub fn set_hosts(&self, hosts: Vec<PeerHost<SocketAddr>>) {
-        let hosts = strong(hosts);
+        let hosts = high_cpu_hosts(hosts);
         let is_there = |address: &SocketAddr| hosts.iter().any(|host| host.address == *address);
         self.connections.retain(is_there);
         let mut avoidance = self.avoidance.borrow_mut();
@@ -88,8 +88,8 @@
         let hosts = self.hosts.borrow();
         let avoidance = self.avoidance.borrow();
         let usable = hosts.iter();
-        let usable = usable.filter(|host| !avoidance.is_avoided(&host.host, &host.run, now));
-        let is_alone = hosts.iter().all(|host| host.run == self.own_run);
+        let usable = usable.filter(|host| !avoidance.is_backed_off(&host.host, &host.process, now));
+        let is_alone = hosts.iter().all(|host| host.process == self.own_run);
         keeper(program, usable).filter(|_| !is_alone).cloned()
     }
 
@@ -108,12 +108,12 @@
     }
 
     fn answered(&self, keeper: &PeerHost<SocketAddr>) {
-        self.avoidance.borrow_mut().answered(&keeper.host);
+        self.avoidance.borrow_mut().record_response(&keeper.host);
     }
 
     fn avoid(&self, keeper: &PeerHost<SocketAddr>, now: Duration, error: &KeeperError) {
         let mut avoidance = self.avoidance.borrow_mut();
-        if let Some(wait) = avoidance.silent(&keeper.host, &keeper.run, now) {
+        if let Some(wait) = avoidance.record_timeout(&keeper.host, &keeper.process, now) {
             let event = Event::new(EventKind::HistoryUntold).host(&keeper.host);
             log_event(&event.wait_ms(whole_ms(wait)).error(error));
         }
@@ -126,11 +126,11 @@
     let Some(keeper) = recent.keeper(program, gateway.clock.now()) else {
         return Vec::new();
     };
-    if keeper.run == recent.own_run {
+    if keeper.process == recent.own_run {
         return recent.programs.borrow().rows(program);
     }
     let request = RecentRequest {
-        asked_run: keeper.run.clone(),
+        asked_run: keeper.process.clone(),
         program: program.to_owned(),
     };
     let message = encode_request(&request);
@@ -200,12 +200,12 @@
         }));
     }
     let request = KeepRequest {
-        asked_run: keeper.run.clone(),
+        asked_run: keeper.process.clone(),
         program: newest.program.clone(),
         previous,
         rows,
     };
-    if keeper.run == recent.own_run {
+    if keeper.process == recent.own_run {
         return Ok(recent.take(request));
     }
     let message = encode_keep(&request);
