--- a/coordination/src/gateway.rs
+++ b/coordination/src/gateway.rs
@@ -15,7 +15,7 @@
 //! | what a program has spent, and what its turns may spend | [`ledger`] | `spending` and `recall`, by [`pending_changes`] |
 //! | what programs may spend while the store is unavailable | [`escrow`] | `spending`, by `escrow` |
 //! | which changes of programs become durable together | [`pending_changes`] | `commits` |
-//! | which hosts' transactions are joined into one | [`group_commit`] | `joined_commits` |
+//! | which hosts' transactions are batched into one | [`group_commit`] | `joined_commits` |
 //! | which host batches the transactions of a partition | [`batchers`] | `joined_commits` |
 //! | which hosts are not asked for a while since they did not answer | [`host_backoff`] | [`batchers`], [`follow_tree`] |
 //! | whether a host reads a table of the store itself, or from which host | [`follow_tree`] | `feeds` |
--- a/coordination/src/gateway/group_commit.rs
+++ b/coordination/src/gateway/group_commit.rs
@@ -1,17 +1,19 @@
-//! Transactions of many hosts, joined into one at a time for each partition.
+//! Group commit: batches the transactions of many hosts into one at a time for each
+//! partition of the store.
 //!
-//! A partition of the store applies one transaction after another, however
-//! little each holds, and every call counts against the rate of all hosts
-//! together. With hundreds of hosts that write a little each, a host alone has
-//! nothing to gather. So the hosts send the transactions of a partition to one
-//! of them, which joins whatever waits there into the next one.
+//! A partition of the store applies one transaction after another, however few rows
+//! each of them changes, and every call counts against a rate limit that all hosts
+//! share. With hundreds of hosts that each write a little, no single host has enough
+//! transactions to form a batch. So the hosts send the transactions of a partition to
+//! one of them, the batcher, which combines all that are pending there into the next
+//! batch.
 //!
-//! Nothing is agreed for that, and the joining host keeps nothing that its
-//! senders lack. Each part carries its own conditions, so a part that was
-//! applied here and is sent again elsewhere fails them; two hosts that join
-//! the same partition only join less. When the conditions of a joined
-//! transaction fail, the rows that come back tell whose they are: those parts
-//! end with the conflict, and the others go again.
+//! This needs no agreement between hosts, and a batcher keeps no state that the senders
+//! lack. Each entry of a batch carries its own conditions, so an entry that was applied
+//! here and is sent again elsewhere fails them. If two hosts batch the same partition,
+//! each of them only forms smaller batches. If the conditions of a batch fail, the rows
+//! that the store returns show which entries they belong to: those entries end with the
+//! conflict, and the others are sent again.
 
 use std::collections::{HashMap, HashSet, VecDeque};
 use std::time::Duration;
@@ -22,227 +24,252 @@
 
 use crate::gateway::pending_changes::Answer;
 
-/// Most bytes of the values of one transaction before their encoding, which
-/// adds a third; a call holds 1 MB.
-const MAX_BYTES: usize = 600_000;
-/// Rows whose newest version is remembered, about 400 bytes each. A partition
-/// with 100 turns a second needs the last few seconds of them, since who writes
-/// under an older version has read it within the last turn.
-const MAX_RECENT: usize = 1_024;
+/// Maximum total size of the values of one batch in bytes, before their encoding, which
+/// adds a third. A call to the store holds at most 1 MB.
+const MAX_BATCH_BYTES: usize = 600_000;
+/// Maximum number of rows whose newest version is cached, at about 400 bytes each. A
+/// partition with 100 turns a second needs the rows of the last few seconds, since a
+/// transaction with an outdated version is based on a read within the last turn.
+const MAX_RECENT_ROWS: usize = 1_024;
 
-/// The share of the store's writes that joined transactions use when every
-/// partition has some waiting. The rest is for hosts that commit by themselves
-/// while their gatherer is away, for deletions and for what comes again.
-const WRITES_SHARE: f64 = 0.75;
+/// The share of the store's write rate that batches use while every partition has
+/// pending entries. The rest is for hosts that commit directly while their batcher is
+/// unreachable, for deletions and for retries.
+const BATCH_WRITE_SHARE: f64 = 0.75;
 
-/// Least time between the starts of two transactions of a partition, with which all
-/// partitions together stay within the rate that the store declares. Calls beyond
-/// the rate are refused and sent again, which makes a burst last longer.
-pub fn pace(partitions: u64, writes_per_s: u64) -> Duration {
-    let joined_per_s = writes_per_s as f64 * WRITES_SHARE;
-    Duration::from_secs_f64(partitions as f64 / joined_per_s.max(1.0))
+/// Returns the minimum time between the starts of two batches of a partition that keeps
+/// all partitions together within the write rate that the store declares. The store
+/// refuses calls beyond the rate, and sending them again makes a burst last longer.
+pub fn min_batch_interval(partitions: u64, writes_per_s: u64) -> Duration {
+    let batches_per_s = writes_per_s as f64 * BATCH_WRITE_SHARE;
+    Duration::from_secs_f64(partitions as f64 / batches_per_s.max(1.0))
 }
 
-/// Transactions of one partition whose answers are late, at most. Copies of each go to the
-/// store, and all partitions may have as many.
-const MAX_LATE: usize = 3;
+/// Maximum number of overdue batches of one partition. The store receives copies of
+/// each of them, and every partition may have this many.
+const MAX_OVERDUE: usize = 3;
 
-/// Names a part until its outcome is known.
-pub type PartId = u64;
+/// Identifies a batch entry until its outcome is known.
+pub type BatchEntryId = u64;
 
-/// Names a joined transaction whose answer is late.
-pub type LateId = u64;
+/// Identifies an overdue batch, one whose answer did not arrive in time.
+pub type OverdueBatchId = u64;
 
-/// One host's transaction.
+/// One host's transaction within a batch.
 #[derive(Debug)]
-struct Part {
-    id: PartId,
+struct BatchEntry {
+    id: BatchEntryId,
     transaction: Transaction,
 }
 
-/// The transactions of one partition that wait to be joined, and those on their
-/// way.
+/// The batch entries of one partition: those that are pending, and those of batches that
+/// the store has not answered yet.
 ///
-/// One joined transaction is on its way at a time, beside a few whose answers are late.
-/// No row that one of their parts writes stands in another part, and parts that require a
-/// row which none writes require the same version of it.
+/// At most one batch that is not overdue is in flight, beside a few overdue ones. A row
+/// that an entry of these batches changes occurs in no other entry, and all entries with a
+/// condition on a row that none of them changes require the same version of it.
 #[derive(Debug, Default)]
 pub struct GroupCommit {
-    waiting: VecDeque<Part>,
-    on_its_way: Vec<Part>,
-    late: HashMap<LateId, Vec<Part>>,
-    recent: Recent,
-    next_id: PartId,
-    next_late: LateId,
+    pending: VecDeque<BatchEntry>,
+    in_flight: Vec<BatchEntry>,
+    overdue: HashMap<OverdueBatchId, Vec<BatchEntry>>,
+    recent: RecentRows,
+    next_id: BatchEntryId,
+    next_overdue: OverdueBatchId,
 }
 
 impl GroupCommit {
-    /// Adds a host's transaction.
-    pub fn submit(&mut self, transaction: Transaction) -> PartId {
+    /// Adds a host's transaction to the pending entries.
+    pub fn submit(&mut self, transaction: Transaction) -> BatchEntryId {
         self.next_id += 1;
         let id = self.next_id;
-        self.waiting.push_back(Part { id, transaction });
+        self.pending.push_back(BatchEntry { id, transaction });
         id
     }
 
-    /// Number of parts whose outcome is open.
-    pub fn open_parts(&self) -> usize {
-        let late: usize = self.late.values().map(Vec::len).sum();
-        self.waiting.len() + self.on_its_way.len() + late
+    /// Returns the number of entries whose outcome is not known yet.
+    pub fn open_entries(&self) -> usize {
+        let overdue: usize = self.overdue.values().map(Vec::len).sum();
+        self.pending.len() + self.in_flight.len() + overdue
     }
 
-    /// Whether parts wait to be joined.
-    pub fn has_waiting(&self) -> bool {
-        !self.waiting.is_empty()
+    /// Returns whether any entry is in no batch yet.
+    pub fn has_pending(&self) -> bool {
+        !self.pending.is_empty()
     }
 
-    /// Counts the transaction on its way as late, so that the next one goes beside it. None
-    /// when none is on its way or too many are late.
-    pub fn go_on(&mut self) -> Option<LateId> {
-        if self.on_its_way.is_empty() || self.late.len() >= MAX_LATE {
+    /// Marks the batch in flight as overdue, so that the next batch can be sent beside it.
+    /// Returns `None` if no batch is in flight or too many are overdue.
+    pub fn mark_overdue(&mut self) -> Option<OverdueBatchId> {
+        if self.in_flight.is_empty() || self.overdue.len() >= MAX_OVERDUE {
             return None;
         }
-        self.next_late += 1;
-        let parts = std::mem::take(&mut self.on_its_way);
-        self.late.insert(self.next_late, parts);
-        Some(self.next_late)
+        self.next_overdue += 1;
+        let entries = std::mem::take(&mut self.in_flight);
+        self.overdue.insert(self.next_overdue, entries);
+        Some(self.next_overdue)
     }
 
-    /// Joins what waits into the next transaction, unless one is on its way that is not
-    /// late, or nothing waits but rows of late ones. Parts that are known to conflict end
-    /// here, without a call.
-    pub fn next_transaction(&mut self) -> (Option<Transaction>, Vec<(PartId, Answer)>) {
+    /// Combines pending entries into the next batch and returns its transaction. There is
+    /// none while a batch that is not overdue is in flight, or if every pending entry
+    /// contends with an overdue batch for a row. Also returns the entries that are known
+    /// to conflict, which end without a call to the store.
+    pub fn next_transaction(&mut self) -> (Option<Transaction>, Vec<(BatchEntryId, Answer)>) {
         let mut ended = Vec::new();
-        if !self.on_its_way.is_empty() {
+        if !self.in_flight.is_empty() {
             return (None, ended);
         }
-        let mut joined = Joined::default();
-        for part in self.late.values().flatten() {
-            joined.note_rows(&part.transaction);
+        let mut batch = Batch::default();
+        for entry in self.overdue.values().flatten() {
+            batch.add_rows(&entry.transaction);
         }
-        for part in std::mem::take(&mut self.waiting) {
-            if let Some(rows) = self.recent.conflict(&part.transaction) {
-                ended.push((part.id, Answer::Conflict(rows)));
-            } else if joined.take(&part.transaction) {
-                self.on_its_way.push(part);
+        for entry in std::mem::take(&mut self.pending) {
+            if let Some(rows) = self.recent.conflict(&entry.transaction) {
+                ended.push((entry.id, Answer::Conflict(rows)));
+            } else if batch.try_add(&entry.transaction) {
+                self.in_flight.push(entry);
             } else {
-                self.waiting.push_back(part);
+                self.pending.push_back(entry);
             }
         }
-        let is_empty = self.on_its_way.is_empty();
-        ((!is_empty).then_some(joined.transaction), ended)
+        let is_empty = self.in_flight.is_empty();
+        ((!is_empty).then_some(batch.transaction), ended)
     }
 
-    /// Takes the answer to the joined transaction on its way, and tells what it
-    /// means to each of its parts. Parts that are not told wait to go again.
-    pub fn answered(&mut self, answer: Answer) -> Vec<(PartId, Answer)> {
-        let parts = std::mem::take(&mut self.on_its_way);
-        self.conclude(parts, answer)
+    /// Processes the store's answer to the batch in flight. Returns the entries that end
+    /// with it, each with its own answer; all others are pending again.
+    pub fn record_answer(&mut self, answer: Answer) -> Vec<(BatchEntryId, Answer)> {
+        let entries = std::mem::take(&mut self.in_flight);
+        self.complete(entries, answer)
     }
 
-    /// The same for a transaction whose answer was late.
-    pub fn answered_late(&mut self, late: LateId, answer: Answer) -> Vec<(PartId, Answer)> {
-        let parts = self.late.remove(&late).unwrap_or_default();
-        self.conclude(parts, answer)
+    /// Processes the store's answer to an overdue batch, as [`Self::record_answer`] does
+    /// for the batch in flight.
+    pub fn record_overdue_answer(
+        &mut self,
+        overdue: OverdueBatchId,
+        answer: Answer,
+    ) -> Vec<(BatchEntryId, Answer)> {
+        let entries = self.overdue.remove(&overdue).unwrap_or_default();
+        self.complete(entries, answer)
     }
 
-    fn conclude(&mut self, parts: Vec<Part>, answer: Answer) -> Vec<(PartId, Answer)> {
+    fn complete(
+        &mut self,
+        entries: Vec<BatchEntry>,
+        answer: Answer,
+    ) -> Vec<(BatchEntryId, Answer)> {
         match answer {
             Answer::Applied(version) => {
-                for part in &parts {
-                    self.recent.note_applied(&part.transaction, version);
+                for entry in &entries {
+                    self.recent.record_applied(&entry.transaction, version);
                 }
-                tell_all(parts, &Answer::Applied(version))
+                answer_all(entries, &Answer::Applied(version))
             }
-            Answer::Conflict(rows) => self.conflicted(parts, &rows),
-            Answer::NotKnown => tell_all(parts, &Answer::NotKnown),
+            Answer::Conflict(rows) => self.resolve_conflict(entries, &rows),
+            Answer::NotKnown => answer_all(entries, &Answer::NotKnown),
         }
     }
 
-    fn conflicted(&mut self, parts: Vec<Part>, rows: &[Row]) -> Vec<(PartId, Answer)> {
+    /// Returns the entries whose conditions failed, and makes the others pending again.
+    fn resolve_conflict(
+        &mut self,
+        entries: Vec<BatchEntry>,
+        rows: &[Row],
+    ) -> Vec<(BatchEntryId, Answer)> {
         let present: HashMap<&RowId, &Row> = rows.iter().map(|row| (&row.id, row)).collect();
         let holds = |condition: &Condition| {
             let version = present.get(&condition.row).map_or(0, |row| row.version);
             version == condition.version
         };
-        let (again, failed): (Vec<Part>, Vec<Part>) = parts
+        let (retried, failed): (Vec<BatchEntry>, Vec<BatchEntry>) = entries
             .into_iter()
-            .partition(|part| part.transaction.conditions.iter().all(holds));
+            .partition(|entry| entry.transaction.conditions.iter().all(holds));
         if failed.is_empty() {
-            // Nobody's condition failed by these rows: the answer is of something
-            // else, and going again could go on for ever.
-            return tell_all(again, &Answer::NotKnown);
+            // These rows fail no condition of any entry, so the conflict has another
+            // cause, and retrying could repeat it without end.
+            return answer_all(retried, &Answer::NotKnown);
         }
         for row in rows {
-            self.recent.note(row.clone());
+            self.recent.record(row.clone());
         }
-        for part in again.into_iter().rev() {
-            self.waiting.push_front(part);
+        for entry in retried.into_iter().rev() {
+            self.pending.push_front(entry);
         }
-        let conflict = |part: Part| {
-            let conditions = part.transaction.conditions.iter();
+        let conflict = |entry: BatchEntry| {
+            let conditions = entry.transaction.conditions.iter();
             let rows = conditions.filter_map(|condition| present.get(&condition.row).copied());
-            (part.id, Answer::Conflict(rows.cloned().collect()))
+            (entry.id, Answer::Conflict(rows.cloned().collect()))
         };
         failed.into_iter().map(conflict).collect()
     }
 }
 
-fn tell_all(parts: Vec<Part>, answer: &Answer) -> Vec<(PartId, Answer)> {
-    let parts = parts.into_iter();
-    parts.map(|part| (part.id, answer.clone())).collect()
+/// Returns the same answer for each entry.
+fn answer_all(entries: Vec<BatchEntry>, answer: &Answer) -> Vec<(BatchEntryId, Answer)> {
+    let entries = entries.into_iter();
+    entries.map(|entry| (entry.id, answer.clone())).collect()
 }
 
-/// A transaction that is being joined.
+/// A batch that is being formed.
 #[derive(Default)]
-struct Joined {
+struct Batch {
     transaction: Transaction,
-    /// Rows that its parts, and transactions that are late, write or delete.
+    /// The rows that its entries, and those of overdue batches, write or delete.
     changed: HashSet<RowId>,
-    /// Rows that they require and leave as they are.
+    /// The rows that conditions of these entries require at a version and that none of
+    /// the entries changes.
     required: HashMap<RowId, RowVersion>,
-    entries: usize,
+    /// Number of entries of `transaction` as the store counts them, which limits them to
+    /// [`MAX_TRANSACTION_ENTRIES`].
+    transaction_entries: usize,
+    /// Total size of the values of `transaction` in bytes.
     bytes: usize,
 }
 
-impl Joined {
-    /// Takes a part in, if it has room and its rows go with those of the other parts. The
-    /// first part always has room.
-    fn take(&mut self, part: &Transaction) -> bool {
-        let (entries, bytes) = (part.entries(), part.value_bytes());
-        let has_room =
-            self.entries + entries <= MAX_TRANSACTION_ENTRIES && self.bytes + bytes <= MAX_BYTES;
-        let is_first = self.entries == 0;
-        if !self.goes_with(part) || !(has_room || is_first) {
+impl Batch {
+    /// Adds an entry and returns true if the batch has room for it and it is compatible
+    /// with the other entries. The first entry always has room.
+    fn try_add(&mut self, entry: &Transaction) -> bool {
+        let (transaction_entries, bytes) = (entry.entries(), entry.value_bytes());
+        let has_room = self.transaction_entries + transaction_entries <= MAX_TRANSACTION_ENTRIES
+            && self.bytes + bytes <= MAX_BATCH_BYTES;
+        let is_first = self.transaction_entries == 0;
+        if !self.is_compatible(entry) || !(has_room || is_first) {
             return false;
         }
-        self.entries += entries;
+        self.transaction_entries += transaction_entries;
         self.bytes += bytes;
-        self.note_rows(part);
-        let joined = &mut self.transaction;
-        for condition in &part.conditions {
-            if !joined.conditions.contains(condition) {
-                joined.conditions.push(condition.clone());
+        self.add_rows(entry);
+        let combined = &mut self.transaction;
+        for condition in &entry.conditions {
+            if !combined.conditions.contains(condition) {
+                combined.conditions.push(condition.clone());
             }
         }
-        joined.writes.extend(part.writes.iter().cloned());
-        joined.deletes.extend(part.deletes.iter().cloned());
+        combined.writes.extend(entry.writes.iter().cloned());
+        combined.deletes.extend(entry.deletes.iter().cloned());
         true
     }
 
-    fn goes_with(&self, part: &Transaction) -> bool {
-        let is_apart = part.rows().all(|row| !self.changed.contains(row));
-        let leaves = |row: &RowId| !self.required.contains_key(row);
-        let agrees = |condition: &Condition| {
+    /// Returns whether an entry contends with no other entry for a row: neither changes a
+    /// row that the other has, and their conditions on a row require the same version.
+    fn is_compatible(&self, entry: &Transaction) -> bool {
+        let is_disjoint = entry.rows().all(|row| !self.changed.contains(row));
+        let is_not_required = |row: &RowId| !self.required.contains_key(row);
+        let is_same_version = |condition: &Condition| {
             let version = self.required.get(&condition.row);
             version.is_none_or(|version| *version == condition.version)
         };
-        is_apart && part.changed_rows().all(leaves) && part.conditions.iter().all(agrees)
+        is_disjoint
+            && entry.changed_rows().all(is_not_required)
+            && entry.conditions.iter().all(is_same_version)
     }
 
-    fn note_rows(&mut self, part: &Transaction) {
-        self.changed.extend(part.changed_rows().cloned());
-        for condition in &part.conditions {
+    /// Adds the rows of an entry to those that later entries are checked against.
+    fn add_rows(&mut self, entry: &Transaction) {
+        self.changed.extend(entry.changed_rows().cloned());
+        for condition in &entry.conditions {
             if !self.changed.contains(&condition.row) {
                 let (row, version) = (condition.row.clone(), condition.version);
                 self.required.insert(row, version);
@@ -251,23 +278,24 @@
     }
 }
 
-/// Conditioned rows as they were last written or read here. A row may be newer
-/// in the store, never older.
+/// A cache of rows that conditions refer to, as this host last wrote or read them. A row
+/// may be newer in the store, never older.
 #[derive(Debug, Default)]
-struct Recent {
+struct RecentRows {
     rows: HashMap<RowId, Row>,
-    /// The rows in the order in which they became known; the oldest yield.
+    /// The rows in the order in which they were added; the oldest is evicted first.
     order: VecDeque<RowId>,
 }
 
-impl Recent {
-    /// The present rows of a transaction's conditions, when one of them is known
-    /// to have failed. It saves the call that would only say so.
+impl RecentRows {
+    /// Returns the cached rows of a transaction's conditions if they show that one of the
+    /// conditions fails. This saves a call to the store that would end in a conflict.
     fn conflict(&self, transaction: &Transaction) -> Option<Vec<Row>> {
         let mut rows = Vec::new();
         let mut has_failed = false;
         for condition in &transaction.conditions {
-            // A row that is not known, or known from before, may be any.
+            // A row that is not cached, or cached with an older version than the condition
+            // requires, does not show whether the condition holds.
             let row = self.rows.get(&condition.row);
             let row = row.filter(|row| row.version >= condition.version)?;
             has_failed |= row.version > condition.version;
@@ -276,15 +304,15 @@
         has_failed.then_some(rows)
     }
 
-    /// Takes note of what a transaction left of its conditioned rows.
-    fn note_applied(&mut self, transaction: &Transaction, version: RowVersion) {
+    /// Updates the rows of a transaction's conditions to what it wrote or deleted.
+    fn record_applied(&mut self, transaction: &Transaction, version: RowVersion) {
         for row in &transaction.deletes {
             self.rows.remove(row);
         }
         for condition in &transaction.conditions {
             let mut writes = transaction.writes.iter();
             if let Some(write) = writes.find(|write| write.row == condition.row) {
-                self.note(Row {
+                self.record(Row {
                     id: write.row.clone(),
                     version,
                     value: Some(write.value.clone()),
@@ -293,7 +321,9 @@
         }
     }
 
-    fn note(&mut self, row: Row) {
+    /// Caches a row unless the cached version is at least as new, and evicts the oldest
+    /// rows beyond [`MAX_RECENT_ROWS`].
+    fn record(&mut self, row: Row) {
         match self.rows.get_mut(&row.id) {
             Some(known) if known.version >= row.version => return,
             Some(known) => *known = row,
@@ -302,7 +332,7 @@
                 self.rows.insert(row.id.clone(), row);
             }
         }
-        while self.order.len() > MAX_RECENT {
+        while self.order.len() > MAX_RECENT_ROWS {
             if let Some(oldest) = self.order.pop_front() {
                 self.rows.remove(&oldest);
             }
--- a/coordination/tests/commit_world/mod.rs
+++ b/coordination/tests/commit_world/mod.rs
@@ -10,7 +10,7 @@
 
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use rosebend_coordination::gateway::group_commit::{GroupCommit, pace};
+use rosebend_coordination::gateway::group_commit::{GroupCommit, min_batch_interval};
 use rosebend_coordination::gateway::pending_changes::Answer;
 use rosebend_state::deployment::{RowId, Transaction};
 
@@ -177,7 +177,7 @@
     /// Lets a sender build its next transaction as soon as it may.
     fn send(&mut self, id: u64) {
         let sender = self.sender(id);
-        if sender.is_sending || sender.group.open_parts() == 0 {
+        if sender.is_sending || sender.group.open_entries() == 0 {
             return;
         }
         sender.is_sending = true;
@@ -189,7 +189,7 @@
     fn build(&mut self, id: u64, load: &Load) {
         let now = self.now;
         let sender = self.sender(id);
-        sender.next_at = now + pace(load.partitions, load.writes_per_s);
+        sender.next_at = now + min_batch_interval(load.partitions, load.writes_per_s);
         sender.is_sending = sender.group.next_transaction().0.is_some();
         if sender.is_sending {
             self.at(now + HOP, Event::Calls { sender: id });
@@ -230,7 +230,7 @@
             true => Answer::Applied(1),
             false => Answer::NotKnown,
         };
-        let ended = sender.group.answered(answer);
+        let ended = sender.group.record_answer(answer);
         let mut is_first = true;
         for (part, _) in ended {
             let (phase, began) = sender.parts.remove(&part).expect("each part ends once");
--- a/coordination/tests/gateway_group_commit.rs
+++ b/coordination/tests/gateway_group_commit.rs
@@ -36,17 +36,17 @@
     let second = group.submit(change("b", 3));
     let third = group.submit(change("c", 0));
     assert_eq!(group.next_transaction().0, None, "one is on its way");
-    let ended = group.answered(Answer::Applied(7));
+    let ended = group.record_answer(Answer::Applied(7));
     assert_eq!(ended, [(first, Answer::Applied(7))]);
     let joined = group.next_transaction().0.unwrap();
     assert_eq!(joined.conditions.len(), 2);
     assert_eq!(joined.writes.len(), 2);
-    let ended = group.answered(Answer::Applied(8));
+    let ended = group.record_answer(Answer::Applied(8));
     assert_eq!(
         ended,
         [(second, Answer::Applied(8)), (third, Answer::Applied(8))]
     );
-    assert_eq!(group.open_parts(), 0);
+    assert_eq!(group.open_entries(), 0);
 }
 
 #[test]
@@ -56,11 +56,11 @@
     let old = group.submit(change("b", 3));
     group.next_transaction();
     let present = vec![row("a", 4), row("b", 5)];
-    let ended = group.answered(Answer::Conflict(present));
+    let ended = group.record_answer(Answer::Conflict(present));
     assert_eq!(ended, [(old, Answer::Conflict(vec![row("b", 5)]))]);
     assert_eq!(group.next_transaction().0, Some(change("a", 4)));
     assert_eq!(
-        group.answered(Answer::Applied(6)),
+        group.record_answer(Answer::Applied(6)),
         [(sound, Answer::Applied(6))]
     );
 }
@@ -92,7 +92,7 @@
     group.submit(resting_change("a", 4));
     group.submit(resting_change("b", 5));
     assert_eq!(group.next_transaction().0, Some(resting_change("a", 4)));
-    group.answered(Answer::Applied(6));
+    group.record_answer(Answer::Applied(6));
     assert_eq!(group.next_transaction().0, Some(resting_change("b", 5)));
 }
 
@@ -120,10 +120,10 @@
     let first = group.submit(change("a", 0));
     let second = group.submit(change("b", 0));
     group.next_transaction();
-    let ended = group.answered(Answer::Conflict(vec![row("a", 2)]));
+    let ended = group.record_answer(Answer::Conflict(vec![row("a", 2)]));
     assert_eq!(ended, [(first, Answer::Conflict(vec![row("a", 2)]))]);
     group.next_transaction();
-    let ended = group.answered(Answer::Applied(3));
+    let ended = group.record_answer(Answer::Applied(3));
     assert_eq!(ended, [(second, Answer::Applied(3))]);
 }
 
@@ -133,7 +133,7 @@
     let first = group.submit(change("a", 1));
     let second = group.submit(change("a", 1));
     assert_eq!(group.next_transaction().0, Some(change("a", 1)));
-    let ended = group.answered(Answer::Applied(9));
+    let ended = group.record_answer(Answer::Applied(9));
     assert_eq!(ended, [(first, Answer::Applied(9))]);
     // No call is needed to know that the version is old.
     let written = Row {
@@ -150,7 +150,7 @@
     let mut group = GroupCommit::default();
     group.submit(change("a", 1));
     group.next_transaction();
-    group.answered(Answer::Applied(2));
+    group.record_answer(Answer::Applied(2));
     // Another host has written the row since, past this one.
     group.submit(change("a", 5));
     assert_eq!(group.next_transaction().0, Some(change("a", 5)));
@@ -162,7 +162,7 @@
     let first = group.submit(change("a", 0));
     let second = group.submit(change("b", 0));
     group.next_transaction();
-    let ended = group.answered(Answer::NotKnown);
+    let ended = group.record_answer(Answer::NotKnown);
     assert_eq!(
         ended,
         [(first, Answer::NotKnown), (second, Answer::NotKnown)]
@@ -174,7 +174,7 @@
     let mut group = GroupCommit::default();
     let only = group.submit(change("a", 4));
     group.next_transaction();
-    let ended = group.answered(Answer::Conflict(vec![row("a", 4)]));
+    let ended = group.record_answer(Answer::Conflict(vec![row("a", 4)]));
     assert_eq!(ended, [(only, Answer::NotKnown)]);
 }
 
@@ -188,7 +188,7 @@
     while let (Some(transaction), _) = group.next_transaction() {
         assert!(transaction.entries() <= 100, "{}", transaction.entries());
         joined += transaction.writes.len();
-        group.answered(Answer::Applied(1));
+        group.record_answer(Answer::Applied(1));
     }
     assert_eq!(joined, 80);
     // Large values, and one that is larger than all together may be.
@@ -200,7 +200,7 @@
     let mut sent = Vec::new();
     while let (Some(transaction), _) = group.next_transaction() {
         sent.push(transaction.value_bytes());
-        group.answered(Answer::Applied(2));
+        group.record_answer(Answer::Applied(2));
     }
     assert_eq!(sent, [400_010, 300_000, 900_000]);
 }
@@ -214,22 +214,22 @@
     let again = group.submit(change("a", 2));
     let other = group.submit(change("b", 1));
     assert_eq!(group.next_transaction().0, None, "one is on its way");
-    let flight = group.go_on().unwrap();
+    let flight = group.mark_overdue().unwrap();
     assert_eq!(group.next_transaction().0, Some(change("b", 1)));
-    let ended = group.answered(Answer::Applied(5));
+    let ended = group.record_answer(Answer::Applied(5));
     assert_eq!(ended, [(other, Answer::Applied(5))]);
     assert_eq!(
         group.next_transaction().0,
         None,
         "its row is in the late one"
     );
-    assert!(group.has_waiting());
-    let ended = group.answered_late(flight, Answer::Applied(2));
+    assert!(group.has_pending());
+    let ended = group.record_overdue_answer(flight, Answer::Applied(2));
     assert_eq!(ended, [(late, Answer::Applied(2))]);
     assert_eq!(group.next_transaction().0, Some(change("a", 2)));
-    let ended = group.answered(Answer::Applied(6));
+    let ended = group.record_answer(Answer::Applied(6));
     assert_eq!(ended, [(again, Answer::Applied(6))]);
-    assert_eq!(group.open_parts(), 0);
+    assert_eq!(group.open_entries(), 0);
 }
 
 #[test]
@@ -238,12 +238,12 @@
     let sound = group.submit(change("a", 4));
     let old = group.submit(change("b", 3));
     group.next_transaction();
-    let flight = group.go_on().unwrap();
+    let flight = group.mark_overdue().unwrap();
     let present = vec![row("a", 4), row("b", 5)];
-    let ended = group.answered_late(flight, Answer::Conflict(present));
+    let ended = group.record_overdue_answer(flight, Answer::Conflict(present));
     assert_eq!(ended, [(old, Answer::Conflict(vec![row("b", 5)]))]);
     assert_eq!(group.next_transaction().0, Some(change("a", 4)));
-    let ended = group.answered(Answer::Applied(6));
+    let ended = group.record_answer(Answer::Applied(6));
     assert_eq!(ended, [(sound, Answer::Applied(6))]);
 }
 
@@ -254,9 +254,9 @@
     for number in 0..20 {
         group.submit(change(&format!("p{number}"), 1));
         group.next_transaction();
-        late += usize::from(group.go_on().is_some());
+        late += usize::from(group.mark_overdue().is_some());
     }
     assert_eq!(late, 3);
-    assert_eq!(group.go_on(), None);
-    assert_eq!(group.open_parts(), 20);
+    assert_eq!(group.mark_overdue(), None);
+    assert_eq!(group.open_entries(), 20);
 }
--- a/gateway/src/joined_commits.rs
+++ b/gateway/src/joined_commits.rs
@@ -17,7 +17,9 @@
 use futures_util::StreamExt;
 use futures_util::stream::FuturesUnordered;
 use rosebend_coordination::gateway::batchers::{Batchers, PeerHost};
-use rosebend_coordination::gateway::group_commit::{GroupCommit, LateId, PartId, pace};
+use rosebend_coordination::gateway::group_commit::{
+    BatchEntryId, GroupCommit, OverdueBatchId, min_batch_interval,
+};
 use rosebend_coordination::gateway::history::PARTITIONS;
 use rosebend_coordination::gateway::ledger::Holder;
 use rosebend_coordination::gateway::pending_changes::Answer;
@@ -46,7 +48,7 @@
 #[derive(Debug, Default)]
 struct Partition {
     group: GroupCommit,
-    waiters: HashMap<PartId, Waiter>,
+    waiters: HashMap<BatchEntryId, Waiter>,
     is_sending: bool,
     /// When the next transaction may go.
     next_at: Duration,
@@ -118,7 +120,7 @@
 
     /// Takes the rate of writes that the store declares, for all hosts together.
     pub fn set_writes_per_s(&self, writes_per_s: u64) {
-        self.pace.set(pace(PARTITIONS, writes_per_s));
+        self.pace.set(min_batch_interval(PARTITIONS, writes_per_s));
     }
 
     /// Takes all hosts that are there, this one among them.
@@ -133,7 +135,7 @@
         let partitions = self.partitions.borrow();
         partitions
             .values()
-            .map(|known| known.group.open_parts())
+            .map(|known| known.group.open_entries())
             .sum()
     }
 
@@ -347,9 +349,9 @@
     }
 
     /// Counts the transaction on its way as late.
-    fn go_on(&self, name: &str) -> Option<LateId> {
+    fn go_on(&self, name: &str) -> Option<OverdueBatchId> {
         let mut partitions = self.partitions.borrow_mut();
-        partitions.get_mut(name)?.group.go_on()
+        partitions.get_mut(name)?.group.mark_overdue()
     }
 
     /// When a partition's next transaction may go.
@@ -369,7 +371,7 @@
         transaction
     }
 
-    fn answered(self: &Rc<Self>, name: &str, late: Option<LateId>, outcome: Outcome) {
+    fn answered(self: &Rc<Self>, name: &str, late: Option<OverdueBatchId>, outcome: Outcome) {
         let mut partitions = self.partitions.borrow_mut();
         let Some(partition) = partitions.get_mut(name) else {
             return;
@@ -380,13 +382,13 @@
             Err(error) => (Answer::NotKnown, Some(error)),
         };
         let ended = match late {
-            Some(late) => partition.group.answered_late(late, answer),
-            None => partition.group.answered(answer),
+            Some(late) => partition.group.record_overdue_answer(late, answer),
+            None => partition.group.record_answer(answer),
         };
         self.metrics.count_joined(ended.len());
         partition.tell(ended, error);
         // Others may have waited for its rows alone.
-        if partition.group.has_waiting() {
+        if partition.group.has_pending() {
             self.start_sending(partition, name.to_owned());
         }
     }
@@ -394,7 +396,7 @@
 
 impl Partition {
     /// Tells who asked. `error` is why nothing is known, where that is the answer.
-    fn tell(&mut self, ended: Vec<(PartId, Answer)>, error: Option<StoreError>) {
+    fn tell(&mut self, ended: Vec<(BatchEntryId, Answer)>, error: Option<StoreError>) {
         for (id, answer) in ended {
             let outcome = match answer {
                 Answer::Applied(version) => Ok(Transacted::Applied(version)),
