--- a/coordination/tests/gateway_commit_load.rs
+++ b/coordination/tests/gateway_commit_load.rs
@@ -1,35 +1,34 @@
-//! Commits of many hosts under load: how many changes are durable in time, and
-//! at which price in calls.
+//! Commits of many hosts under load: the share of changes that are durable in time, and
+//! the calls to the store that they take.
 //!
-//! The pattern is that of a burst through a shared commit path: hundreds of hosts
-//! write a little each, their calls together reach the store's rate or a
-//! partition's, calls are refused and sent again, and each waits longer for it.
-//! The figures are the store's declared limits and a caller's patience: a turn
-//! may take 46 ms for its way, and two writes of 100 ms use up what a program of
-//! four turns has to spare.
+//! The failure is a burst on a shared commit path: hundreds of hosts write a little each,
+//! and their calls together reach the rate limit of the store or the capacity of a
+//! partition. Calls are then refused and sent again, which delays every change. The limits
+//! are those that the store declares and the delay that a caller tolerates: a turn may take
+//! 46 ms on its way, and two writes of 100 ms use up the slack of a program of four turns.
 
-mod commit_world;
+mod commit_sim;
 
 use std::fmt::Write;
 use std::time::Duration;
 
-use commit_world::{Joining, Load, play};
+use commit_sim::{Batching, Load, simulate};
 
-/// Time in which a change is durable that its caller does not notice.
-const LIMIT: Duration = Duration::from_millis(100);
-/// Writes a second of the largest deployment that is known, and of letter 1's
-/// aim ("several hundred").
+/// Maximum time until a change is durable. Callers do not notice a shorter delay.
+const MAX_LATENCY: Duration = Duration::from_millis(100);
+/// Write rate of the largest known deployment, in writes per second.
 const LARGE_WRITES_PER_S: u64 = 3_200;
+/// Write rate of a deployment with several hundred writes per second.
 const SEVERAL_HUNDRED_PER_S: u64 = 700;
 
-/// Quiet for 1 s, a burst of 2 s, and 2 s after it.
-fn burst(hosts: u64, partitions: u64, writes_per_s: u64, usual: u64, most: u64) -> Load {
+/// Returns a load of 1 s at the usual rate, a burst of 2 s, and 2 s at the usual rate.
+fn burst(hosts: u64, partitions: u64, writes_per_s: u64, usual: u64, peak: u64) -> Load {
     let second = Duration::from_secs(1);
     Load {
         hosts,
         partitions,
         writes_per_s,
-        phases: vec![(usual, second), (most, 2 * second), (usual, 2 * second)],
+        phases: vec![(usual, second), (peak, 2 * second), (usual, 2 * second)],
     }
 }
 
@@ -46,23 +45,23 @@
             2_500,
         ),
     ];
-    for (name, partitions, writes_per_s, usual, most) in deployments {
+    for (name, partitions, writes_per_s, usual, peak) in deployments {
         for hosts in [30, 100, 380] {
-            for joining in [Joining::EachHost, Joining::OneHost] {
-                let load = burst(hosts, partitions, writes_per_s, usual, most);
-                let fared = play(&load, joining, LIMIT, 1);
-                let percent = fared.iter().map(|phase| phase.in_time_percent());
+            for batching in [Batching::EachHost, Batching::OneHost] {
+                let load = burst(hosts, partitions, writes_per_s, usual, peak);
+                let stats = simulate(&load, batching, MAX_LATENCY, 1);
+                let percent = stats.iter().map(|phase| phase.in_time_percent());
                 let percent: Vec<u64> = percent.collect();
-                let calls: u64 = fared.iter().map(|phase| phase.calls).sum();
-                let changes: u64 = fared.iter().map(|phase| phase.changes).sum();
+                let calls: u64 = stats.iter().map(|phase| phase.calls).sum();
+                let changes: u64 = stats.iter().map(|phase| phase.changes).sum();
                 writeln!(
                     table,
-                    "{name}, {hosts} hosts, {joining:?}: {percent:?} % in time, \
+                    "{name}, {hosts} hosts, {batching:?}: {percent:?} % in time, \
                      {} calls for 100 changes",
                     calls * 100 / changes
                 )
                 .unwrap();
-                if joining == Joining::OneHost {
+                if batching == Batching::OneHost {
                     assert!(percent.iter().all(|percent| *percent >= 99), "{table}");
                 }
             }
--- a/coordination/tests/gateway_group_commit.rs
+++ b/coordination/tests/gateway_group_commit.rs
@@ -1,5 +1,5 @@
-//! Transactions of several hosts that are joined: which go together, and what
-//! the answer of the store means to each.
+//! Tests of the group commit: which transactions of several hosts are combined into one
+//! batch, and which outcome the answer of the store means for each of them.
 
 use rosebend_coordination::gateway::group_commit::GroupCommit;
 use rosebend_coordination::gateway::pending_changes::Answer;
@@ -9,7 +9,7 @@
     RowId::new("programs", "p00", format!("{program}/"))
 }
 
-/// A change of a program's ledger as it was at a version.
+/// Returns a transaction that changes a program's ledger and requires its version.
 fn change(program: &str, version: RowVersion) -> Transaction {
     Transaction::default()
         .expect(ledger(program), version)
@@ -28,19 +28,19 @@
 }
 
 #[test]
-fn what_waits_is_joined_into_one() {
+fn pending_entries_are_combined_into_one_batch() {
     let mut group = GroupCommit::default();
     let first = group.submit(change("a", 0));
     let (transaction, ended) = group.next_transaction();
     assert_eq!((transaction, ended), (Some(change("a", 0)), Vec::new()));
     let second = group.submit(change("b", 3));
     let third = group.submit(change("c", 0));
-    assert_eq!(group.next_transaction().0, None, "one is on its way");
+    assert_eq!(group.next_transaction().0, None, "a batch is in flight");
     let ended = group.record_answer(Answer::Applied(7));
     assert_eq!(ended, [(first, Answer::Applied(7))]);
-    let joined = group.next_transaction().0.unwrap();
-    assert_eq!(joined.conditions.len(), 2);
-    assert_eq!(joined.writes.len(), 2);
+    let combined = group.next_transaction().0.unwrap();
+    assert_eq!(combined.conditions.len(), 2);
+    assert_eq!(combined.writes.len(), 2);
     let ended = group.record_answer(Answer::Applied(8));
     assert_eq!(
         ended,
@@ -50,23 +50,24 @@
 }
 
 #[test]
-fn a_conflict_is_told_to_whose_it_is_and_the_others_go_again() {
+fn a_conflict_ends_the_entries_it_belongs_to_and_the_others_are_retried() {
     let mut group = GroupCommit::default();
-    let sound = group.submit(change("a", 4));
-    let old = group.submit(change("b", 3));
+    let valid = group.submit(change("a", 4));
+    let outdated = group.submit(change("b", 3));
     group.next_transaction();
     let present = vec![row("a", 4), row("b", 5)];
     let ended = group.record_answer(Answer::Conflict(present));
-    assert_eq!(ended, [(old, Answer::Conflict(vec![row("b", 5)]))]);
+    assert_eq!(ended, [(outdated, Answer::Conflict(vec![row("b", 5)]))]);
     assert_eq!(group.next_transaction().0, Some(change("a", 4)));
     assert_eq!(
         group.record_answer(Answer::Applied(6)),
-        [(sound, Answer::Applied(6))]
+        [(valid, Answer::Applied(6))]
     );
 }
 
-/// A change of a program's ledger that rests on a row which it leaves as it is.
-fn resting_change(program: &str, version: RowVersion) -> Transaction {
+/// Returns a transaction that changes a program's ledger and requires a version of another
+/// row, which it does not change.
+fn fenced_change(program: &str, version: RowVersion) -> Transaction {
     change(program, 0).expect(fence(), version)
 }
 
@@ -75,47 +76,47 @@
 }
 
 #[test]
-fn parts_that_rest_on_the_same_row_are_joined() {
+fn entries_that_require_the_same_version_of_a_row_are_batched() {
     let mut group = GroupCommit::default();
-    group.submit(resting_change("a", 4));
-    group.submit(resting_change("b", 4));
-    let joined = group.next_transaction().0.unwrap();
-    assert_eq!(joined.writes.len(), 2);
-    let rests = joined.conditions.iter();
-    let rests = rests.filter(|condition| condition.row == fence());
-    assert_eq!(rests.count(), 1, "the row is named once");
+    group.submit(fenced_change("a", 4));
+    group.submit(fenced_change("b", 4));
+    let combined = group.next_transaction().0.unwrap();
+    assert_eq!(combined.writes.len(), 2);
+    let fence_conditions = combined.conditions.iter();
+    let fence_conditions = fence_conditions.filter(|condition| condition.row == fence());
+    assert_eq!(fence_conditions.count(), 1, "the row has one condition");
 }
 
 #[test]
-fn parts_that_rest_on_other_versions_of_a_row_are_not_joined() {
+fn entries_that_require_different_versions_of_a_row_are_not_batched() {
     let mut group = GroupCommit::default();
-    group.submit(resting_change("a", 4));
-    group.submit(resting_change("b", 5));
-    assert_eq!(group.next_transaction().0, Some(resting_change("a", 4)));
+    group.submit(fenced_change("a", 4));
+    group.submit(fenced_change("b", 5));
+    assert_eq!(group.next_transaction().0, Some(fenced_change("a", 4)));
     group.record_answer(Answer::Applied(6));
-    assert_eq!(group.next_transaction().0, Some(resting_change("b", 5)));
+    assert_eq!(group.next_transaction().0, Some(fenced_change("b", 5)));
 }
 
 #[test]
-fn a_part_that_changes_a_row_is_not_joined_to_one_that_rests_on_it() {
-    let raise = || {
+fn an_entry_that_changes_a_row_is_not_batched_with_one_that_requires_it() {
+    let fence_update = || {
         let transaction = Transaction::default().expect(fence(), 4);
         transaction.write(fence(), Vec::new())
     };
-    for parts in [
-        [resting_change("a", 4), raise()],
-        [raise(), resting_change("a", 4)],
+    for transactions in [
+        [fenced_change("a", 4), fence_update()],
+        [fence_update(), fenced_change("a", 4)],
     ] {
         let mut group = GroupCommit::default();
-        parts.iter().for_each(|part| {
-            group.submit(part.clone());
+        transactions.iter().for_each(|submitted| {
+            group.submit(submitted.clone());
         });
-        assert_eq!(group.next_transaction().0.as_ref(), Some(&parts[0]));
+        assert_eq!(group.next_transaction().0.as_ref(), Some(&transactions[0]));
     }
 }
 
 #[test]
-fn a_row_that_must_not_exist_and_does_is_a_conflict() {
+fn a_row_that_exists_but_must_not_is_a_conflict() {
     let mut group = GroupCommit::default();
     let first = group.submit(change("a", 0));
     let second = group.submit(change("b", 0));
@@ -128,14 +129,14 @@
 }
 
 #[test]
-fn two_changes_of_one_program_go_one_after_the_other_and_the_later_is_told_at_once() {
+fn the_second_of_two_changes_of_a_row_conflicts_without_a_call() {
     let mut group = GroupCommit::default();
     let first = group.submit(change("a", 1));
     let second = group.submit(change("a", 1));
     assert_eq!(group.next_transaction().0, Some(change("a", 1)));
     let ended = group.record_answer(Answer::Applied(9));
     assert_eq!(ended, [(first, Answer::Applied(9))]);
-    // No call is needed to know that the version is old.
+    // The cached row shows that the version is outdated, so no call is needed.
     let written = Row {
         value: Some(b"a after 1".to_vec()),
         ..row("a", 9)
@@ -146,18 +147,18 @@
 }
 
 #[test]
-fn what_is_known_of_a_row_from_before_is_no_conflict() {
+fn an_older_cached_row_is_no_conflict() {
     let mut group = GroupCommit::default();
     group.submit(change("a", 1));
     group.next_transaction();
     group.record_answer(Answer::Applied(2));
-    // Another host has written the row since, past this one.
+    // Another host has written the row directly since, so the cached version is older.
     group.submit(change("a", 5));
     assert_eq!(group.next_transaction().0, Some(change("a", 5)));
 }
 
 #[test]
-fn an_answer_that_is_lost_is_told_to_all() {
+fn a_lost_answer_ends_all_entries() {
     let mut group = GroupCommit::default();
     let first = group.submit(change("a", 0));
     let second = group.submit(change("b", 0));
@@ -170,7 +171,7 @@
 }
 
 #[test]
-fn a_conflict_of_nobody_ends_all_rather_than_going_on_for_ever() {
+fn a_conflict_without_a_failed_condition_ends_all_entries_without_a_retry() {
     let mut group = GroupCommit::default();
     let only = group.submit(change("a", 4));
     group.next_transaction();
@@ -179,19 +180,19 @@
 }
 
 #[test]
-fn a_joined_transaction_keeps_to_the_store_s_limits() {
+fn a_batch_stays_within_the_limits_of_the_store() {
     let mut group = GroupCommit::default();
     for number in 0..80 {
         group.submit(change(&format!("p{number}"), 0));
     }
-    let mut joined = 0;
+    let mut combined = 0;
     while let (Some(transaction), _) = group.next_transaction() {
         assert!(transaction.entries() <= 100, "{}", transaction.entries());
-        joined += transaction.writes.len();
+        combined += transaction.writes.len();
         group.record_answer(Answer::Applied(1));
     }
-    assert_eq!(joined, 80);
-    // Large values, and one that is larger than all together may be.
+    assert_eq!(combined, 80);
+    // Large values, one of which exceeds the limit of a batch by itself.
     let sizes = [400_000, 300_000, 900_000, 10];
     for (number, bytes) in sizes.into_iter().enumerate() {
         let row = RowId::new("programs", "p00", format!("large-{number}"));
@@ -205,58 +206,59 @@
     assert_eq!(sent, [400_010, 300_000, 900_000]);
 }
 
-/// The pattern of a store that loses answers: what waits does not wait for a copy.
+/// A store that loses answers must not delay the pending entries until a copy of the
+/// transaction is answered.
 #[test]
-fn others_go_on_beside_a_transaction_whose_answer_is_late() {
+fn pending_entries_are_sent_beside_an_overdue_batch() {
     let mut group = GroupCommit::default();
-    let late = group.submit(change("a", 1));
+    let overdue = group.submit(change("a", 1));
     group.next_transaction();
-    let again = group.submit(change("a", 2));
+    let later_change = group.submit(change("a", 2));
     let other = group.submit(change("b", 1));
-    assert_eq!(group.next_transaction().0, None, "one is on its way");
-    let flight = group.mark_overdue().unwrap();
+    assert_eq!(group.next_transaction().0, None, "a batch is in flight");
+    let overdue_batch = group.mark_overdue().unwrap();
     assert_eq!(group.next_transaction().0, Some(change("b", 1)));
     let ended = group.record_answer(Answer::Applied(5));
     assert_eq!(ended, [(other, Answer::Applied(5))]);
     assert_eq!(
         group.next_transaction().0,
         None,
-        "its row is in the late one"
+        "the overdue batch has its row"
     );
     assert!(group.has_pending());
-    let ended = group.record_overdue_answer(flight, Answer::Applied(2));
-    assert_eq!(ended, [(late, Answer::Applied(2))]);
+    let ended = group.record_overdue_answer(overdue_batch, Answer::Applied(2));
+    assert_eq!(ended, [(overdue, Answer::Applied(2))]);
     assert_eq!(group.next_transaction().0, Some(change("a", 2)));
     let ended = group.record_answer(Answer::Applied(6));
-    assert_eq!(ended, [(again, Answer::Applied(6))]);
+    assert_eq!(ended, [(later_change, Answer::Applied(6))]);
     assert_eq!(group.open_entries(), 0);
 }
 
 #[test]
-fn parts_of_a_late_transaction_that_met_another_s_conflict_go_again() {
+fn entries_of_an_overdue_batch_without_a_conflict_are_retried() {
     let mut group = GroupCommit::default();
-    let sound = group.submit(change("a", 4));
-    let old = group.submit(change("b", 3));
+    let valid = group.submit(change("a", 4));
+    let outdated = group.submit(change("b", 3));
     group.next_transaction();
-    let flight = group.mark_overdue().unwrap();
+    let overdue_batch = group.mark_overdue().unwrap();
     let present = vec![row("a", 4), row("b", 5)];
-    let ended = group.record_overdue_answer(flight, Answer::Conflict(present));
-    assert_eq!(ended, [(old, Answer::Conflict(vec![row("b", 5)]))]);
+    let ended = group.record_overdue_answer(overdue_batch, Answer::Conflict(present));
+    assert_eq!(ended, [(outdated, Answer::Conflict(vec![row("b", 5)]))]);
     assert_eq!(group.next_transaction().0, Some(change("a", 4)));
     let ended = group.record_answer(Answer::Applied(6));
-    assert_eq!(ended, [(sound, Answer::Applied(6))]);
+    assert_eq!(ended, [(valid, Answer::Applied(6))]);
 }
 
 #[test]
-fn few_transactions_are_late_at_the_same_time() {
+fn the_number_of_overdue_batches_is_limited() {
     let mut group = GroupCommit::default();
-    let mut late = 0;
+    let mut overdue = 0;
     for number in 0..20 {
         group.submit(change(&format!("p{number}"), 1));
         group.next_transaction();
-        late += usize::from(group.mark_overdue().is_some());
+        overdue += usize::from(group.mark_overdue().is_some());
     }
-    assert_eq!(late, 3);
+    assert_eq!(overdue, 3);
     assert_eq!(group.mark_overdue(), None);
     assert_eq!(group.open_entries(), 20);
 }
