--- a/coordination/src/gateway/replica.rs
+++ b/coordination/src/gateway/replica.rs
@@ -1,58 +1,67 @@
-//! A table of the store as a host knows it, for itself and for hosts that follow it.
+//! A replica of a table of the store, which a host uses itself and sends to the hosts that
+//! follow it.
+//!
+//! A follower requests the changes since the version that it has. The replica therefore
+//! keeps the recent deletions and the versions that it has had, and sends the whole table
+//! to a follower whose version is not among them.
 
 use std::collections::{BTreeMap, HashSet, VecDeque};
 use std::time::Duration;
 
 use rosebend_state::deployment::{Row, RowId, RowVersion};
 
-/// Deletions that are remembered. A follower that missed more takes the whole table.
+/// Maximum number of deletions that are kept. A follower that missed more than these
+/// receives the whole table.
 const MAX_DELETIONS: usize = 512;
-/// Versions that are remembered: minutes of changes.
-const MAX_STEPS: usize = 512;
+/// Maximum number of versions that are kept, which covers minutes of changes.
+const MAX_VERSIONS: usize = 512;
 
-/// Rows of a table, as read from the store or sent by another host.
+/// Changes of a table or all of its rows, as read from the store or received from another
+/// host.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct TableChanges {
-    /// Whether these are all rows of the table; rows that it lacks are gone.
+    /// Whether `rows` are all rows of the table, so that all others have been deleted.
     pub is_whole: bool,
-    /// Version of the store as of which they are known.
+    /// The version of the store at which the rows were read.
     pub version: RowVersion,
-    /// The rows, in the order of their changes.
+    /// The rows in the order of their changes. A row without a value was deleted.
     pub rows: Vec<Row>,
 }
 
-/// What a host knows of a table.
+/// A host's replica of a table.
 ///
-/// It only moves forward: changes of an older version than its own change nothing.
+/// Its version never decreases: it ignores changes of an older version than its own.
 #[derive(Debug, Default)]
 pub struct TableReplica {
     rows: BTreeMap<String, Row>,
-    /// Rows that were deleted, the latest last.
+    /// The rows that were deleted, each with the version of its deletion, the latest last.
     deletions: VecDeque<(RowVersion, RowId)>,
-    /// Versions as of which the table was known here, the latest last. Only a follower
-    /// that knows the table as of one of them can be sent the changes since: for one
-    /// that learned of it elsewhere in between, this host may have missed a change that
-    /// was reverted.
-    steps: VecDeque<RowVersion>,
-    /// When the store had nothing newer, for all that is known.
+    /// The versions that this replica has had, the latest last. Changes can be sent only to
+    /// a follower at one of these versions. A follower at any other version received it from
+    /// another host, and may have a change that this replica never received because it was
+    /// reverted before the replica's next version.
+    versions: VecDeque<RowVersion>,
+    /// The latest time at which the store is known to have had no newer version.
     current_at: Duration,
 }
 
 impl TableReplica {
-    /// Version of the store as of which the table is known; none before the first
+    /// Returns the version of the store that the replica is at, or `None` before the first
     /// changes.
     pub fn version(&self) -> Option<RowVersion> {
-        self.steps.back().copied()
+        self.versions.back().copied()
     }
 
-    /// How long ago the store had nothing newer; none before the first changes.
+    /// Returns the time since the store is known to have had no newer version, or `None`
+    /// before the first changes.
     pub fn age(&self, now: Duration) -> Option<Duration> {
         self.version().map(|_| now.saturating_sub(self.current_at))
     }
 
-    /// Applies changes that were current at `current_at`. `is_same` returns whether a
-    /// row changed in nothing that hosts act on; such a change is not passed on. Returns
-    /// whether the changes were not older than what is known.
+    /// Applies changes that were current at `current_at`. Returns false, and changes
+    /// nothing, if they are older than the replica. `is_same` returns whether two versions
+    /// of a row are equal in everything that hosts act on; such a change is not sent to
+    /// followers.
     pub fn apply(
         &mut self,
         changes: &TableChanges,
@@ -71,11 +80,12 @@
         for row in &changes.rows {
             self.apply_row(row, changes.version, &is_same);
         }
-        self.note_step(changes.version);
+        self.record_version(changes.version);
         self.current_at = self.current_at.max(current_at);
         true
     }
 
+    /// Deletes the rows that are absent from a whole table.
     fn delete_missing(&mut self, changes: &TableChanges) {
         let listed = changes.rows.iter().map(|row| row.id.key.as_str());
         let listed: HashSet<&str> = listed.collect();
@@ -87,19 +97,23 @@
         }
     }
 
-    fn note_step(&mut self, version: RowVersion) {
+    /// Records a version of the replica, and drops the oldest one beyond
+    /// [`MAX_VERSIONS`].
+    fn record_version(&mut self, version: RowVersion) {
         if self.version() != Some(version) {
-            self.steps.push_back(version);
+            self.versions.push_back(version);
         }
-        if self.steps.len() > MAX_STEPS {
-            self.steps.pop_front();
+        if self.versions.len() > MAX_VERSIONS {
+            self.versions.pop_front();
         }
     }
 
+    /// Inserts, replaces or deletes a row.
     fn apply_row(&mut self, row: &Row, version: RowVersion, is_same: &impl Fn(&Row, &Row) -> bool) {
         let key = &row.id.key;
         if row.value.is_none() {
-            // The row's own version may be that of its last write.
+            // The version of a deleted row may be that of its last write, so the deletion
+            // gets the version of the changes.
             return self.delete(&row.id, version);
         }
         match self.rows.get(key) {
@@ -114,23 +128,25 @@
         }
     }
 
+    /// Deletes a row and records the deletion. If the oldest deletion is dropped, so are
+    /// the versions before it, since the changes after them are no longer complete.
     fn delete(&mut self, id: &RowId, version: RowVersion) {
         if self.rows.remove(&id.key).is_none() {
             return;
         }
         self.deletions.push_back((version, id.clone()));
         if self.deletions.len() > MAX_DELETIONS
-            && let Some((forgotten, _)) = self.deletions.pop_front()
+            && let Some((dropped, _)) = self.deletions.pop_front()
         {
-            self.steps.retain(|step| *step >= forgotten);
+            self.versions.retain(|kept| *kept >= dropped);
         }
     }
 
-    /// Whether there is anything to send to a follower that knows the table as of `after`.
+    /// Returns whether there is anything to send to a follower at the version `after`.
     pub fn has_changes_after(&self, after: Option<RowVersion>) -> bool {
         let is_newer = |version: RowVersion| after < Some(version);
         let mut deletions = self.deletions.iter().rev();
-        match self.is_followed_from(after) {
+        match self.can_send_changes_after(after) {
             true => {
                 self.rows.values().any(|row| is_newer(row.version))
                     || deletions.any(|(version, _)| is_newer(*version))
@@ -139,19 +155,19 @@
         }
     }
 
-    /// Whether a follower can be sent changes instead of all rows. One that is ahead
-    /// lacks nothing.
-    fn is_followed_from(&self, after: Option<RowVersion>) -> bool {
+    /// Returns whether a follower at the version `after` can receive changes instead of the
+    /// whole table. A follower ahead of this replica needs no rows.
+    fn can_send_changes_after(&self, after: Option<RowVersion>) -> bool {
         let is_ahead = |after: &RowVersion| Some(*after) > self.version();
-        let is_step = |after: &RowVersion| self.steps.binary_search(after).is_ok();
-        after.is_some_and(|after| is_ahead(&after) || is_step(&after))
+        let is_recorded = |after: &RowVersion| self.versions.binary_search(after).is_ok();
+        after.is_some_and(|after| is_ahead(&after) || is_recorded(&after))
     }
 
-    /// What a follower lacks that knows the table as of `after`; none before the
+    /// Returns what a follower at the version `after` is missing, or `None` before the
     /// first changes.
     pub fn changes_after(&self, after: Option<RowVersion>) -> Option<TableChanges> {
         let version = self.version()?;
-        let Some(after) = after.filter(|_| self.is_followed_from(after)) else {
+        let Some(after) = after.filter(|_| self.can_send_changes_after(after)) else {
             return Some(TableChanges {
                 is_whole: true,
                 version,
