--- a/coordination/src/gateway.rs
+++ b/coordination/src/gateway.rs
@@ -9,7 +9,7 @@
 //! | whether a new program is begun while engines have queues | [`admission`] | `turn` |
 //! | which entries name no endpoint to use | [`refusals`] | `watch` |
 //! | what follows when an endpoint did not answer as it should | [`attempt`] | `exchange` |
-//! | which events of a stream go out, and where its next run goes on | [`event_series`] | `runs` |
+//! | which events of a stream are sent, and where its next attempt resumes | [`event_series`] | `runs` |
 //! | which requests crash endpoints | [`fingerprint`] | `quarantine`, `dispatch` |
 //! | when a caller that was refused may come back | [`retry_after`] | `reply` |
 //! | what a program has spent, and what its turns may spend | [`ledger`] | `spending` and `recall`, by [`pending_changes`] |
@@ -19,7 +19,7 @@
 //! | which host batches the transactions of a partition | [`batchers`] | `joined_commits` |
 //! | which hosts are not asked for a while since they did not answer | [`host_backoff`] | [`batchers`], [`follow_tree`] |
 //! | whether a host reads a table of the store itself, or from which host | [`follow_tree`] | `feeds` |
-//! | what a host knows of a table, and what it tells its followers | [`replica`] | `feeds` |
+//! | which rows of a table a host has, and which it sends to its followers | [`replica`] | `feeds` |
 //! | what was said in earlier turns, and its rows in the store | [`history`] | `programs`, `turn_stream` |
 //! | who keeps a program's history in an availability zone, and what | [`recent_programs`] | `recent_history` |
 //!
--- a/coordination/src/gateway/event_series.rs
+++ b/coordination/src/gateway/event_series.rs
@@ -1,68 +1,72 @@
-//! The events of one answer, over the runs that made it.
+//! Resumption of the server-sent events of one answer across several attempts.
 //!
-//! Only whole events go out: an endpoint that breaks off within an event must
-//! not leave a part of it at the caller, which the next run would begin again.
-//! A run goes on after the last event that went out and never before it.
+//! If an endpoint fails within its answer, another attempt resumes the stream at the same
+//! or another endpoint. Only complete events are sent to the caller: the next attempt sends
+//! an incomplete event again from its beginning, so the caller must not have a part of it.
+//! An attempt resumes after the last event that was sent, and an event that would be sent
+//! twice or out of order is an error.
 
 use rosebend_state::deployment::EventId;
 
-/// Longest event that is held until it is whole. Events of model engines have a
-/// few hundred bytes; what is longer by far is no event.
+/// Maximum size in bytes of an event that is buffered until it is complete. Events of
+/// model engines have a few hundred bytes, so a much longer one is not an event.
 const MAX_EVENT_BYTES: usize = 1 << 20;
 
-/// Why a run's bytes do not go on where the answer stands.
+/// The reason why the bytes of an attempt do not continue the answer.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, thiserror::Error)]
 pub enum SeriesError {
-    /// An event came again, or before one that has gone out.
+    /// The id of an event, the first field, is not greater than that of the last event, the
+    /// second field.
     #[error("event {0} comes after event {1}")]
     OutOfOrder(EventId, EventId),
-    /// An event has no end.
+    /// An event exceeds the maximum size.
     #[error("an event is longer than {MAX_EVENT_BYTES} bytes")]
     TooLong,
 }
 
-/// Where the next run of an answer begins.
+/// The point at which the next attempt at an answer begins.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum GoOn {
-    /// At the first event, since none has gone out.
+pub enum ResumePoint {
+    /// The attempt begins at the first event, since none was sent.
     FromStart,
-    /// After an event.
+    /// The attempt begins after the event with this id.
     After(EventId),
-    /// Nowhere: an event went out that has no id to be named by.
-    Nowhere,
+    /// The answer cannot be resumed, since an event without an id was sent.
+    Impossible,
 }
 
-/// Whole events, as they came.
+/// Complete events, byte for byte as they were received.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Events {
-    /// Events that the caller has from an earlier attempt.
+    /// The events that the caller has from an earlier attempt.
     pub repeated: Vec<u8>,
-    /// Events that go out.
+    /// The events to send to the caller.
     pub fresh: Vec<u8>,
 }
 
-/// What of an answer has gone out, and what waits until its event is whole.
+/// The state of an answer's stream: the last complete event, and the bytes that are buffered
+/// until their event is complete.
 #[derive(Clone, Debug, Default)]
 pub struct EventSeries {
-    /// Bytes after the last whole event, shorter than [`MAX_EVENT_BYTES`].
+    /// The bytes after the last complete event, fewer than [`MAX_EVENT_BYTES`].
     partial: Vec<u8>,
-    /// The last event of this answer.
+    /// The id of the last complete event of this answer.
     last: Option<EventId>,
-    /// The last event that the caller had before this answer began.
-    callers: Option<EventId>,
-    /// Set once an event without an id went out.
-    is_unnamed: bool,
+    /// The id of the last event that the caller had before this answer began.
+    caller_last: Option<EventId>,
+    /// Whether an event without an id was sent.
+    has_event_without_id: bool,
 }
 
 impl Events {
-    /// Whether it holds none.
+    /// Returns whether there are no events.
     pub fn is_empty(&self) -> bool {
         self.repeated.is_empty() && self.fresh.is_empty()
     }
 }
 
 impl EventSeries {
-    /// An answer that the endpoint is asked to begin after an event.
+    /// Creates the state of an answer that the endpoint is asked to begin after an event.
     pub fn after(last: Option<EventId>) -> Self {
         Self {
             last,
@@ -70,26 +74,26 @@
         }
     }
 
-    /// An answer that the endpoint begins at its first event, although the
-    /// caller has those up to `callers`.
-    pub fn repeating(callers: Option<EventId>) -> Self {
+    /// Creates the state of an answer that the endpoint begins at its first event, although
+    /// the caller has the events up to `caller_last`.
+    pub fn repeating(caller_last: Option<EventId>) -> Self {
         Self {
-            callers,
+            caller_last,
             ..Self::default()
         }
     }
 
-    /// The events that `bytes` of the present run complete.
+    /// Adds bytes of the current attempt and returns the events that they complete.
     ///
     /// # Errors
     ///
-    /// Fails when the run does not go on where the answer stands. Nothing of
-    /// `bytes` goes out then, and the answer stands where it stood.
+    /// Returns an error if the attempt does not continue the answer after its last event. No
+    /// event of `bytes` is sent then, and the point of resumption stays the same.
     pub fn push(&mut self, bytes: &[u8]) -> Result<Events, SeriesError> {
-        let (last, is_unnamed) = (self.last, self.is_unnamed);
+        let (last, has_event_without_id) = (self.last, self.has_event_without_id);
         let events = self.take_events(bytes);
         if events.is_err() {
-            (self.last, self.is_unnamed) = (last, is_unnamed);
+            (self.last, self.has_event_without_id) = (last, has_event_without_id);
         }
         events
     }
@@ -117,42 +121,44 @@
         }
     }
 
-    /// Whether the present run stopped within an event.
+    /// Returns whether the bytes of the current attempt end within an event.
     pub fn is_within_event(&self) -> bool {
         !self.partial.is_empty()
     }
 
-    /// Drops what the present run left unfinished, and tells where the next one
-    /// begins.
-    pub fn break_off(&mut self) -> GoOn {
+    /// Discards the incomplete event of the current attempt, and returns the point at which
+    /// the next attempt begins.
+    pub fn discard_partial(&mut self) -> ResumePoint {
         self.partial.clear();
         match self.last {
-            _ if self.is_unnamed => GoOn::Nowhere,
-            None => GoOn::FromStart,
-            Some(last) => GoOn::After(last),
+            _ if self.has_event_without_id => ResumePoint::Impossible,
+            None => ResumePoint::FromStart,
+            Some(last) => ResumePoint::After(last),
         }
     }
 
-    /// Takes note of a whole block; tells whether the caller has it already.
+    /// Records a complete block, and returns whether the caller has it already.
     fn is_repeated(&mut self, block: Block) -> Result<bool, SeriesError> {
         let id = match block {
             Block::NoEvent => return Ok(false),
-            Block::Unnamed => {
-                self.is_unnamed = true;
+            Block::WithoutId => {
+                self.has_event_without_id = true;
                 return Ok(false);
             }
-            Block::Named(id) => id,
+            Block::WithId(id) => id,
         };
         if let Some(last) = self.last.filter(|last| id <= *last) {
             return Err(SeriesError::OutOfOrder(id, last));
         }
         self.last = Some(id);
-        Ok(self.callers.is_some_and(|callers| id <= callers))
+        Ok(self
+            .caller_last
+            .is_some_and(|caller_last| id <= caller_last))
     }
 }
 
-/// Where the event that begins at `begin` ends, with its empty line. Up to
-/// `searched` no end was found before.
+/// Returns the index after the empty line that ends the event at `begin`, or `None` if the
+/// event is incomplete. Earlier calls have searched the bytes before `searched`.
 fn end_of_event(bytes: &[u8], begin: usize, searched: usize) -> Option<usize> {
     let mut at = searched;
     loop {
@@ -167,15 +173,15 @@
     }
 }
 
-/// What stands before an empty line.
+/// The kind of the block of lines before an empty line.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum Block {
-    /// Nothing that a caller takes for an event, such as a comment.
+    /// A block that callers do not process as an event, such as a comment.
     NoEvent,
-    /// An event without a number as its id.
-    Unnamed,
-    /// An event with its id.
-    Named(EventId),
+    /// An event whose id is missing or not a number.
+    WithoutId,
+    /// An event with a numeric id.
+    WithId(EventId),
 }
 
 impl Block {
@@ -184,21 +190,22 @@
         let mut has_data = false;
         for line in block.split(|byte| *byte == b'\n') {
             let line = line.strip_suffix(b"\r").unwrap_or(line);
-            match field(line) {
-                (b"id", value) => id = number(value),
+            match parse_field(line) {
+                (b"id", value) => id = event_id(value),
                 (b"data", _) => has_data = true,
                 _ => {}
             }
         }
         match id {
             _ if !has_data => Self::NoEvent,
-            None => Self::Unnamed,
-            Some(id) => Self::Named(id),
+            None => Self::WithoutId,
+            Some(id) => Self::WithId(id),
         }
     }
 }
 
-fn field(line: &[u8]) -> (&[u8], &[u8]) {
+/// Splits a line into the name and the value of its field.
+fn parse_field(line: &[u8]) -> (&[u8], &[u8]) {
     match line.iter().position(|byte| *byte == b':') {
         None => (line, b""),
         Some(colon) => {
@@ -208,6 +215,7 @@
     }
 }
 
-fn number(value: &[u8]) -> Option<EventId> {
+/// Parses an event id.
+fn event_id(value: &[u8]) -> Option<EventId> {
     std::str::from_utf8(value).ok()?.parse().ok()
 }
--- a/gateway/src/runs.rs
+++ b/gateway/src/runs.rs
@@ -13,7 +13,7 @@
 use http_body_util::BodyExt;
 use hyper::body::{Frame, Incoming};
 use rosebend_coordination::gateway::attempt::Failure;
-use rosebend_coordination::gateway::event_series::{EventSeries, Events, GoOn};
+use rosebend_coordination::gateway::event_series::{EventSeries, Events, ResumePoint};
 use rosebend_platform::headers::AnswerHeader;
 use rosebend_state::deployment::EndpointIdentity;
 use rosebend_transport::connection::Connection;
@@ -154,11 +154,11 @@
         self.run.connection = None;
         let endpoint = self.run.at.endpoint.clone();
         self.exchange.failed(&endpoint, failure).map_err(cut)?;
-        let point = self.series.as_mut().map(EventSeries::break_off);
+        let point = self.series.as_mut().map(EventSeries::discard_partial);
         match point {
-            None | Some(GoOn::Nowhere) => return Err(cut(Refusal::OutcomeUnknown)),
-            Some(GoOn::FromStart) => {}
-            Some(GoOn::After(last)) => self.exchange.go_on_after(last),
+            None | Some(ResumePoint::Impossible) => return Err(cut(Refusal::OutcomeUnknown)),
+            Some(ResumePoint::FromStart) => {}
+            Some(ResumePoint::After(last)) => self.exchange.go_on_after(last),
         }
         let (head, run) = self.next_run().await?;
         let event = Event::new(EventKind::StreamResumed).endpoint(&run.at.endpoint.instance);
