--- a/coordination/tests/gateway_replica.rs
+++ b/coordination/tests/gateway_replica.rs
@@ -1,5 +1,5 @@
-//! A table that hosts know from each other: whoever told it, it becomes what the store
-//! has, and it never goes back.
+//! Tests of the table replica: whichever hosts a replica receives changes from, it becomes
+//! equal to the table of the store, and its version never decreases.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -10,33 +10,33 @@
 
 const NOW: Duration = Duration::from_secs(1);
 
-/// A value is what matters of a row, and a count of heartbeats.
-fn row(key: u8, matter: u8, beat: u8, version: RowVersion) -> Row {
+/// Returns a row whose value is a payload and a heartbeat count.
+fn row(key: u8, payload: u8, heartbeat: u8, version: RowVersion) -> Row {
     Row {
         id: RowId::new("t", "", key.to_string()),
         version,
-        value: Some(vec![matter, beat]),
+        value: Some(vec![payload, heartbeat]),
     }
 }
 
 fn is_same(known: &Row, row: &Row) -> bool {
-    let matter = |row: &Row| row.value.as_ref().map(|value| value[0]);
-    matter(known) == matter(row)
+    let payload = |row: &Row| row.value.as_ref().map(|value| value[0]);
+    payload(known) == payload(row)
 }
 
-/// A table of the store, with all of its history.
+/// A table of the store with the last change of each key.
 #[derive(Debug, Default)]
 struct Table {
     rows: BTreeMap<u8, Row>,
-    /// Each key's last change.
+    /// The last change of each key, which may be a deletion.
     changes: BTreeMap<u8, Row>,
     version: RowVersion,
 }
 
 impl Table {
-    fn set(&mut self, key: u8, matter: u8, beat: u8) {
+    fn set(&mut self, key: u8, payload: u8, heartbeat: u8) {
         self.version += 1;
-        let row = row(key, matter, beat, self.version);
+        let row = row(key, payload, heartbeat, self.version);
         self.rows.insert(key, row.clone());
         self.changes.insert(key, row);
     }
@@ -44,7 +44,7 @@
     fn delete(&mut self, key: u8) {
         if let Some(row) = self.rows.remove(&key) {
             self.version += 1;
-            // Stores may tell the version of the last write.
+            // A store may return a deleted row with the version of its last write.
             let tombstone = Row { value: None, ..row };
             self.changes.insert(key, tombstone);
             self.changes.get_mut(&key).unwrap().version = self.version;
@@ -70,45 +70,45 @@
         }
     }
 
-    fn news_for(&self, replica: &TableReplica) -> TableChanges {
+    fn update_for(&self, replica: &TableReplica) -> TableChanges {
         replica
             .version()
             .map_or_else(|| self.whole(), |after| self.after(after))
     }
 
-    /// What matters of each row.
-    fn matters(&self) -> BTreeMap<String, u8> {
-        matters(&self.whole())
+    /// Returns the payload of each row.
+    fn payloads(&self) -> BTreeMap<String, u8> {
+        payloads(&self.whole())
     }
 }
 
-fn matters(news: &TableChanges) -> BTreeMap<String, u8> {
-    let rows = news.rows.iter();
+fn payloads(update: &TableChanges) -> BTreeMap<String, u8> {
+    let rows = update.rows.iter();
     rows.map(|row| (row.id.key.clone(), row.value.as_ref().unwrap()[0]))
         .collect()
 }
 
-/// All rows that a replica would tell to who knows nothing.
-fn known(replica: &TableReplica) -> BTreeMap<String, u8> {
-    matters(&replica.changes_after(None).unwrap())
+/// Returns the payloads of all rows that a replica sends to a follower without a version.
+fn replicated(replica: &TableReplica) -> BTreeMap<String, u8> {
+    payloads(&replica.changes_after(None).unwrap())
 }
 
 #[derive(Clone, Copy, Debug)]
 enum Step {
     Set(u8, u8, u8),
     Delete(u8),
-    /// A reader hears what changed.
+    /// A reader receives the changes from the store.
     Feed(usize),
-    /// A reader reads all of the table, since the store has dropped its history.
+    /// A reader reads the whole table, since the store has dropped its history.
     Read(usize),
-    /// The follower asks a reader.
+    /// The follower requests the changes from a reader.
     Follow(usize),
 }
 
 fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
         (0..6_u8, 0..3_u8, any::<u8>())
-            .prop_map(|(key, matter, beat)| Step::Set(key, matter, beat)),
+            .prop_map(|(key, payload, heartbeat)| Step::Set(key, payload, heartbeat)),
         (0..6_u8).prop_map(Step::Delete),
         (0..2_usize).prop_map(Step::Feed),
         (0..2_usize).prop_map(Step::Read),
@@ -117,24 +117,24 @@
 }
 
 fn follow(follower: &mut TableReplica, reader: &TableReplica) {
-    let news = reader.changes_after(follower.version());
-    let has_news = news
+    let update = reader.changes_after(follower.version());
+    let has_update = update
         .as_ref()
-        .is_some_and(|news| news.is_whole || !news.rows.is_empty());
-    assert_eq!(reader.has_changes_after(follower.version()), has_news);
-    if let Some(news) = news {
+        .is_some_and(|update| update.is_whole || !update.rows.is_empty());
+    assert_eq!(reader.has_changes_after(follower.version()), has_update);
+    if let Some(update) = update {
         let before = follower.version();
-        let is_applied = follower.apply(&news, NOW, is_same);
+        let is_applied = follower.apply(&update, NOW, is_same);
         assert_eq!(
             is_applied,
-            before.is_none_or(|before| news.version >= before)
+            before.is_none_or(|before| update.version >= before)
         );
     }
 }
 
 proptest! {
     #[test]
-    fn a_follower_of_several_hosts_comes_to_know_what_the_store_has(
+    fn a_follower_of_several_hosts_becomes_equal_to_the_store(
         steps in prop::collection::vec(step(), 0..120),
     ) {
         let mut table = Table::default();
@@ -143,11 +143,11 @@
         for step in steps {
             let before = follower.version();
             match step {
-                Step::Set(key, matter, beat) => table.set(key, matter, beat),
+                Step::Set(key, payload, heartbeat) => table.set(key, payload, heartbeat),
                 Step::Delete(key) => table.delete(key),
                 Step::Feed(index) => {
-                    let news = table.news_for(&readers[index]);
-                    readers[index].apply(&news, NOW, is_same);
+                    let update = table.update_for(&readers[index]);
+                    readers[index].apply(&update, NOW, is_same);
                 }
                 Step::Read(index) => {
                     readers[index].apply(&table.whole(), NOW, is_same);
@@ -157,37 +157,37 @@
             prop_assert!(follower.version() >= before);
         }
         for reader in &mut readers {
-            let news = table.news_for(reader);
-            reader.apply(&news, NOW, is_same);
-            prop_assert_eq!(known(reader), table.matters());
+            let update = table.update_for(reader);
+            reader.apply(&update, NOW, is_same);
+            prop_assert_eq!(replicated(reader), table.payloads());
             follow(&mut follower, reader);
-            prop_assert_eq!(known(&follower), table.matters());
+            prop_assert_eq!(replicated(&follower), table.payloads());
         }
     }
 }
 
 #[test]
-fn a_heartbeat_is_told_to_nobody() {
+fn a_heartbeat_is_not_sent_to_followers() {
     let mut table = Table::default();
     table.set(1, 7, 0);
     let mut reader = TableReplica::default();
     reader.apply(&table.whole(), NOW, is_same);
     let after = reader.version();
-    for beat in 1..100 {
-        table.set(1, 7, beat);
-        let news = table.news_for(&reader);
-        reader.apply(&news, NOW, is_same);
+    for heartbeat in 1..100 {
+        table.set(1, 7, heartbeat);
+        let update = table.update_for(&reader);
+        reader.apply(&update, NOW, is_same);
     }
-    let news = reader.changes_after(after).unwrap();
-    assert_eq!((news.rows.len(), news.version), (0, 100));
+    let update = reader.changes_after(after).unwrap();
+    assert_eq!((update.rows.len(), update.version), (0, 100));
     table.set(1, 8, 0);
-    let news = table.news_for(&reader);
-    reader.apply(&news, NOW, is_same);
+    let update = table.update_for(&reader);
+    reader.apply(&update, NOW, is_same);
     assert_eq!(reader.changes_after(after).unwrap().rows.len(), 1);
 }
 
 #[test]
-fn who_missed_more_deletions_than_are_remembered_is_told_all() {
+fn a_follower_that_missed_too_many_deletions_receives_the_whole_table() {
     let version = |version: u32| RowVersion::from(version);
     let rows = (0..2_000_u32).map(|key| Row {
         id: RowId::new("t", "", key.to_string()),
@@ -195,24 +195,24 @@
         value: Some(vec![1, 1]),
     });
     let mut reader = TableReplica::default();
-    let news = TableChanges {
+    let update = TableChanges {
         is_whole: true,
         version: 1,
         rows: rows.collect(),
     };
-    reader.apply(&news, NOW, is_same);
+    reader.apply(&update, NOW, is_same);
     for key in 0..1_500_u32 {
         let deleted = Row {
             id: RowId::new("t", "", key.to_string()),
             version: 0,
             value: None,
         };
-        let news = TableChanges {
+        let update = TableChanges {
             is_whole: false,
             version: version(key) + 2,
             rows: vec![deleted],
         };
-        reader.apply(&news, NOW, is_same);
+        reader.apply(&update, NOW, is_same);
     }
     let all = reader.changes_after(Some(1)).unwrap();
     assert_eq!((all.is_whole, all.rows.len()), (true, 500));
@@ -221,7 +221,7 @@
 }
 
 #[test]
-fn who_heard_from_elsewhere_meanwhile_is_told_all() {
+fn a_follower_with_a_version_of_another_host_receives_the_whole_table() {
     let mut table = Table::default();
     let mut slow = TableReplica::default();
     let mut quick = TableReplica::default();
@@ -230,33 +230,34 @@
     table.set(1, 8, 0);
     quick.apply(&table.whole(), NOW, is_same);
     table.set(1, 7, 0);
-    let news = table.news_for(&slow);
-    slow.apply(&news, NOW, is_same);
-    // For the slow one nothing has changed; the quick one's follower knows better.
-    let news = slow.changes_after(quick.version()).unwrap();
-    assert!(news.is_whole);
-    // One that is ahead is told nothing until it is not.
+    let update = table.update_for(&slow);
+    slow.apply(&update, NOW, is_same);
+    // The slow replica has received no change of the row, but a follower of the quick one
+    // has the value that was reverted.
+    let update = slow.changes_after(quick.version()).unwrap();
+    assert!(update.is_whole);
+    // A follower that is ahead receives no rows until the replica has caught up.
     table.set(1, 9, 0);
     quick.apply(&table.whole(), NOW, is_same);
-    let news = slow.changes_after(quick.version()).unwrap();
-    assert_eq!((news.is_whole, news.rows.len()), (false, 0));
+    let update = slow.changes_after(quick.version()).unwrap();
+    assert_eq!((update.is_whole, update.rows.len()), (false, 0));
 }
 
 #[test]
-fn the_age_of_a_table_is_that_of_the_store_s_word() {
+fn the_age_of_a_table_is_the_time_since_the_store_had_nothing_newer() {
     let mut replica = TableReplica::default();
     assert_eq!(replica.age(NOW), None);
     let at = |seconds| Duration::from_secs(seconds);
-    let news = |version| TableChanges {
+    let update = |version| TableChanges {
         version,
         ..TableChanges::default()
     };
-    replica.apply(&news(5), at(10), is_same);
+    replica.apply(&update(5), at(10), is_same);
     assert_eq!(replica.age(at(12)), Some(at(2)));
-    // A host that lags behind does not make it younger.
-    assert!(!replica.apply(&news(4), at(12), is_same));
+    // An update of an older version does not decrease the age.
+    assert!(!replica.apply(&update(4), at(12), is_same));
     assert_eq!(replica.age(at(12)), Some(at(2)));
-    // One that heard of this version earlier does not make it older.
-    replica.apply(&news(5), at(9), is_same);
+    // An update that was current at an earlier time does not increase the age.
+    replica.apply(&update(5), at(9), is_same);
     assert_eq!(replica.age(at(12)), Some(at(2)));
 }
