--- a/coordination/tests/gateway_follow_tree.rs
+++ b/coordination/tests/gateway_follow_tree.rs
@@ -88,15 +88,15 @@
     let mut tree = FollowTree::new(deep.unwrap().clone());
     tree.set_hosts(hosts);
     let mut skipped = Vec::new();
-    while let Source::Host(source) = tree.source(NOW) {
-        assert!(!skipped.contains(&source.host));
-        tree.record_timeout(&source.host, &source.process, NOW);
-        skipped.push(source.host);
+    while let Source::Host(upstream) = tree.source(NOW) {
+        assert!(!skipped.contains(&upstream.host));
+        tree.record_timeout(&upstream.host, &upstream.process, NOW);
+        skipped.push(upstream.host);
     }
     // The parent, its parent, and the other reader.
     assert_eq!(skipped.len(), 3);
     let later = NOW + Duration::from_secs(2);
-    assert!(matches!(tree.source(later), Source::Host(source) if source.host == skipped[0]));
+    assert!(matches!(tree.source(later), Source::Host(upstream) if upstream.host == skipped[0]));
 }
 
 /// Returns the number of calls to the store in ten seconds without changes or faults.
