--- a/coordination/src/gateway/batchers.rs
+++ b/coordination/src/gateway/batchers.rs
@@ -22,8 +22,10 @@
 /// batchers are unreachable for one partition in nine.
 const MAX_BATCHERS_ASKED: usize = 2;
 /// A host needs at least the CPU of the largest host, divided by this number, to work
-/// for other hosts. Hosts with less CPU serve as many callers of their own.
+/// for other hosts. Hosts with less CPU serve as many callers of their own, so they have
+/// less of it to spare.
 const HIGH_CPU_DIVISOR: u32 = 2;
+
 /// A gateway host as this one knows it.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct PeerHost<A> {
--- a/coordination/src/gateway/follow_tree.rs
+++ b/coordination/src/gateway/follow_tree.rs
@@ -6,8 +6,8 @@
 //! no host has more than [`MAX_CHILDREN`] children. Every host computes the tree by
 //! itself from the hosts of its zone: high-CPU hosts come first, and each of the two
 //! groups is in the order of a hash (rendezvous hashing). Hosts that know different
-//! lists compute different trees. A cycle between such trees makes the rows on it
-//! stale, and ends when one of its hosts therefore reads the store.
+//! lists compute different trees, which may form a cycle. The rows of its hosts become
+//! stale then, and the cycle ends when one of them reads the store for that reason.
 
 use std::time::Duration;
 
@@ -19,7 +19,7 @@
 
 /// Number of hosts of an availability zone that read the store; one of them may fail.
 pub const READERS: usize = 2;
-/// Maximum number of children of a host while all hosts know the same list. It bounds
+/// Maximum number of children of a host while all hosts have the same list. It bounds
 /// the work of a host for one change, and thousands of hosts still need only three
 /// levels.
 pub const MAX_CHILDREN: usize = 16;
--- a/coordination/src/gateway/group_commit.rs
+++ b/coordination/src/gateway/group_commit.rs
@@ -65,7 +65,7 @@
 /// The batch entries of one partition: those that are pending, and those of batches that
 /// the store has not answered yet.
 ///
-/// At most one batch that is not overdue is in flight, beside a few overdue ones. A row
+/// At most one batch is in flight that is not overdue, beside a few overdue ones. A row
 /// that an entry of these batches changes occurs in no other entry, and all entries with a
 /// condition on a row that none of them changes require the same version of it.
 #[derive(Debug, Default)]
