--- a/coordination/src/gateway.rs
+++ b/coordination/src/gateway.rs
@@ -18,8 +18,8 @@
 //! | The tokens that programs may spend while the store is unavailable | [`escrow`] | `spending`, by `escrow` |
 //! | The changes of programs that are committed in one transaction | [`pending_changes`] | `commits` |
 //! | The transactions of several hosts that are batched into one | [`group_commit`] | `joined_commits` |
-//! | The host that batches the transactions of a partition | [`gatherers`] | `joined_commits` |
-//! | The hosts that are in backoff because they did not respond | [`avoidance`] | [`gatherers`], [`follow_tree`] |
+//! | The host that batches the transactions of a partition | [`batchers`] | `joined_commits` |
+//! | The hosts that are in backoff because they did not respond | [`host_backoff`] | [`batchers`], [`follow_tree`] |
 //! | The source from which a host reads a table: the store or another host | [`follow_tree`] | `feeds` |
 //! | The cached rows of a table, and the changes that are sent to followers | [`replica`] | `feeds` |
 //! | The messages of earlier turns, and their rows in the store | [`history`] | `programs`, `turn_stream` |
@@ -39,15 +39,15 @@
 
 pub mod admission;
 pub mod attempt;
-pub mod avoidance;
+pub mod batchers;
 pub mod directory;
 pub mod escrow;
 pub mod event_series;
 pub mod fingerprint;
 pub mod follow_tree;
-pub mod gatherers;
 pub mod group_commit;
 pub mod history;
+pub mod host_backoff;
 pub mod identity;
 pub mod ledger;
 pub mod limits;
--- a/coordination/src/gateway/escrow/slots.rs
+++ b/coordination/src/gateway/escrow/slots.rs
@@ -23,7 +23,7 @@
 use super::hold_off::{DEMAND_WINDOW, Epoch, HOLD_OFF, HoldOffRow};
 use super::message::{Ask, ProgramAsk, Reply};
 use super::slot::{KEY_PREFIX, SlotId, SlotRow, SlotWrite};
-use crate::gateway::gatherers::{Candidate, ranked_by, strong};
+use crate::gateway::batchers::{PeerHost, high_cpu_hosts, rank_hosts};
 use crate::gateway::ledger::ProcessId;
 
 /// Time for which a slot remains assigned to an owner that is absent.
@@ -90,7 +90,7 @@
 #[derive(Debug)]
 pub struct Slots<A> {
     own_process: ProcessId,
-    hosts: Vec<Candidate<A>>,
+    hosts: Vec<PeerHost<A>>,
     hosts_changed_at: Duration,
     /// Whether all hosts withhold tokens for grants in their ledgers. No slot is
     /// claimed before this is the case.
@@ -139,9 +139,9 @@
     }
 
     /// Replaces the list of hosts, which includes this one.
-    pub fn set_hosts(&mut self, hosts: Vec<Candidate<A>>, all_withhold: bool, now: Duration) {
-        let processes = |hosts: &[Candidate<A>]| -> Vec<ProcessId> {
-            hosts.iter().map(|host| host.run.clone()).collect()
+    pub fn set_hosts(&mut self, hosts: Vec<PeerHost<A>>, all_withhold: bool, now: Duration) {
+        let processes = |hosts: &[PeerHost<A>]| -> Vec<ProcessId> {
+            hosts.iter().map(|host| host.process.clone()).collect()
         };
         if processes(&hosts) != processes(&self.hosts) {
             self.hosts_changed_at = now;
@@ -193,8 +193,8 @@
         }
     }
 
-    fn host(&self, process: &ProcessId) -> Option<&Candidate<A>> {
-        self.hosts.iter().find(|host| host.run == *process)
+    fn host(&self, process: &ProcessId) -> Option<&PeerHost<A>> {
+        self.hosts.iter().find(|host| host.process == *process)
     }
 
     /// Returns the number of slots whose owner is in the table of hosts.
@@ -428,7 +428,7 @@
     }
 
     fn update_missing(&mut self, now: Duration) {
-        let processes: Vec<&ProcessId> = self.hosts.iter().map(|host| &host.run).collect();
+        let processes: Vec<&ProcessId> = self.hosts.iter().map(|host| &host.process).collect();
         for observed in self.observed.values_mut() {
             let is_missing = observed
                 .owner()
@@ -464,9 +464,12 @@
     /// Returns the process that should claim an unowned slot: the first one in the
     /// partition's rendezvous order that does not own the partition's other slot.
     fn preferred_owner(&self, slot: &SlotId) -> Option<&ProcessId> {
-        let hosts = strong(self.hosts.clone());
-        let ranked = ranked_by(&format!("{KEY_PREFIX}{}", slot.partition), hosts.iter());
-        let ranked: Vec<ProcessId> = ranked.into_iter().map(|host| host.run.clone()).collect();
+        let hosts = high_cpu_hosts(self.hosts.clone());
+        let ranked = rank_hosts(&format!("{KEY_PREFIX}{}", slot.partition), hosts.iter());
+        let ranked: Vec<ProcessId> = ranked
+            .into_iter()
+            .map(|host| host.process.clone())
+            .collect();
         let mut taken = Vec::new();
         for other in SlotId::of_partition(&slot.partition) {
             let owner = self.observed.get(&other).and_then(ObservedSlot::owner);
@@ -477,7 +480,7 @@
                 _ => ranked.iter().find(is_free).or(ranked.first()).cloned(),
             };
             if other == *slot {
-                return self.host(&next?).map(|host| &host.run);
+                return self.host(&next?).map(|host| &host.process);
             }
             taken.extend(next);
         }
@@ -545,26 +548,26 @@
     /// Returns the hosts that may take over a slot from this process, which is
     /// stopping, in the order in which they are asked. Hosts that own other slots of
     /// the partition come last.
-    pub fn successors(&self, slot: &SlotId) -> Vec<Candidate<A>> {
-        let hosts = strong(self.hosts.clone());
-        let ranked = ranked_by(&format!("{KEY_PREFIX}{}", slot.partition), hosts.iter());
+    pub fn successors(&self, slot: &SlotId) -> Vec<PeerHost<A>> {
+        let hosts = high_cpu_hosts(self.hosts.clone());
+        let ranked = rank_hosts(&format!("{KEY_PREFIX}{}", slot.partition), hosts.iter());
         let others = SlotId::of_partition(&slot.partition).filter(|other| other != slot);
         let others: Vec<&ProcessId> = others
             .filter_map(|other| self.observed.get(&other)?.owner())
             .collect();
-        let mut ranked: Vec<&Candidate<A>> = ranked
+        let mut ranked: Vec<&PeerHost<A>> = ranked
             .into_iter()
-            .filter(|host| host.run != self.own_process)
+            .filter(|host| host.process != self.own_process)
             .collect();
         // The sort is stable, so that hosts otherwise keep their rendezvous order.
-        ranked.sort_by_key(|host| others.contains(&&host.run));
+        ranked.sort_by_key(|host| others.contains(&&host.process));
         ranked.into_iter().cloned().collect()
     }
 
     /// Returns all hosts but this one.
-    pub fn peers(&self) -> impl Iterator<Item = &Candidate<A>> {
+    pub fn peers(&self) -> impl Iterator<Item = &PeerHost<A>> {
         self.hosts
             .iter()
-            .filter(|host| host.run != self.own_process)
+            .filter(|host| host.process != self.own_process)
     }
 }
--- a/coordination/src/gateway/limits.rs
+++ b/coordination/src/gateway/limits.rs
@@ -32,7 +32,7 @@
 use self::links::{ALLOCATOR_TIMEOUT, AllocatorLinks};
 use self::local_quota::{LocalQuota, RequestClass};
 use self::message::{AllocatorRequest, AllocatorResponse};
-use crate::gateway::gatherers::Candidate;
+use crate::gateway::batchers::PeerHost;
 use crate::gateway::ledger::ProcessId;
 
 pub mod allocator;
@@ -137,9 +137,9 @@
     }
 
     /// Replaces the set of known hosts, which includes this host.
-    pub fn set_hosts(&mut self, hosts: Vec<Candidate<A>>) {
+    pub fn set_hosts(&mut self, hosts: Vec<PeerHost<A>>) {
         self.host_count = hosts.len();
-        self.processes = hosts.iter().map(|host| host.run.clone()).collect();
+        self.processes = hosts.iter().map(|host| host.process.clone()).collect();
         self.links.set_hosts(hosts);
     }
 
@@ -195,7 +195,7 @@
     /// Returns the state on which a refusal of the customer is based.
     pub fn status(&self, customer: &str, now: Duration) -> LimitStatus {
         let allocator = self.links.current(group_of(customer), now);
-        let process = allocator.map(|allocator| allocator.run.clone());
+        let process = allocator.map(|allocator| allocator.process.clone());
         let response_age_ms = process
             .as_ref()
             .and_then(|process| self.links.response_age_ms(process, now));
@@ -243,7 +243,7 @@
         for (allocator, groups) in self.links.recipients(now) {
             let names = groups.iter().flat_map(|group| due.remove(group));
             let names: Vec<CustomerName> = names.flatten().collect();
-            let is_due = self.links.is_due(&allocator.run, now);
+            let is_due = self.links.is_due(&allocator.process, now);
             if names.is_empty() && is_due {
                 due_requests.extend(self.build_request(groups, &allocator, &[], now));
                 continue;
@@ -271,24 +271,24 @@
     fn build_request(
         &mut self,
         groups: Vec<Group>,
-        allocator: &Candidate<A>,
+        allocator: &PeerHost<A>,
         names: &[CustomerName],
         now: Duration,
     ) -> Option<(A, AllocatorRequest)> {
-        let number = self.links.record_request(&allocator.run, now);
+        let number = self.links.record_request(&allocator.process, now);
         let local_quotas = names.iter().filter_map(|name| {
             let local_quota = self.local_quotas.get_mut(name)?;
             Some(local_quota.build_request(name, number, now))
         });
         let request = AllocatorRequest {
             from: self.own_process.clone(),
-            to: allocator.run.clone(),
+            to: allocator.process.clone(),
             number,
             groups,
-            response_age_ms: self.links.response_age_ms(&allocator.run, now),
+            response_age_ms: self.links.response_age_ms(&allocator.process, now),
             customers: local_quotas.collect(),
         };
-        if allocator.run != self.own_process {
+        if allocator.process != self.own_process {
             return Some((allocator.address.clone(), request));
         }
         let response = self.allocate(&request, now);
--- a/coordination/src/gateway/limits/links.rs
+++ b/coordination/src/gateway/limits/links.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use super::{GROUP_COUNT, Group};
-use crate::gateway::gatherers::{Candidate, ranked_by, strong};
+use crate::gateway::batchers::{PeerHost, high_cpu_hosts, rank_hosts};
 use crate::gateway::ledger::ProcessId;
 
 /// Time without a response after which a host switches to the next allocator. An
@@ -37,7 +37,7 @@
 pub struct AllocatorLinks<A> {
     own_process: ProcessId,
     /// Allocators by group, in descending order of rank.
-    ranked: Vec<Vec<Candidate<A>>>,
+    ranked: Vec<Vec<PeerHost<A>>>,
     links: HashMap<ProcessId, Link>,
     number: u64,
 }
@@ -54,36 +54,38 @@
     }
 
     /// Replaces the set of known hosts, which includes this host.
-    pub fn set_hosts(&mut self, hosts: Vec<Candidate<A>>) {
+    pub fn set_hosts(&mut self, hosts: Vec<PeerHost<A>>) {
         self.links
-            .retain(|process, _| hosts.iter().any(|host| host.run == *process));
-        let hosts = strong(hosts);
+            .retain(|process, _| hosts.iter().any(|host| host.process == *process));
+        let hosts = high_cpu_hosts(hosts);
         let ranked = (0..GROUP_COUNT).map(|group| {
             let name = format!("limits/{group}");
-            let ranked = ranked_by(&name, hosts.iter()).into_iter();
+            let ranked = rank_hosts(&name, hosts.iter()).into_iter();
             ranked.take(MAX_CANDIDATES).cloned().collect()
         });
         self.ranked = ranked.collect();
     }
 
     /// Returns the allocator of a group, or none if no allocator responds.
-    pub fn current(&self, group: Group, now: Duration) -> Option<&Candidate<A>> {
+    pub fn current(&self, group: Group, now: Duration) -> Option<&PeerHost<A>> {
         let ranked = self.ranked.get(usize::try_from(group).ok()?)?;
         ranked
             .iter()
-            .find(|host| !self.is_unresponsive(&host.run, now))
+            .find(|host| !self.is_unresponsive(&host.process, now))
     }
 
     /// Returns all allocators to which messages are sent, each with the groups for
     /// which this host uses it. An allocator without groups is only probed for
     /// whether it responds again.
-    pub fn recipients(&self, now: Duration) -> Vec<(Candidate<A>, Vec<Group>)> {
-        let mut targets: Vec<(Candidate<A>, Vec<Group>)> = Vec::new();
+    pub fn recipients(&self, now: Duration) -> Vec<(PeerHost<A>, Vec<Group>)> {
+        let mut targets: Vec<(PeerHost<A>, Vec<Group>)> = Vec::new();
         for group in 0..GROUP_COUNT {
-            let current = self.current(group, now).map(|host| &host.run);
+            let current = self.current(group, now).map(|host| &host.process);
             for host in self.ranked.get(group as usize).into_iter().flatten() {
-                let is_current = current == Some(&host.run);
-                let index = targets.iter().position(|(known, _)| known.run == host.run);
+                let is_current = current == Some(&host.process);
+                let index = targets
+                    .iter()
+                    .position(|(known, _)| known.process == host.process);
                 let index = index.unwrap_or_else(|| {
                     targets.push((host.clone(), Vec::new()));
                     targets.len() - 1
@@ -101,7 +103,7 @@
     /// the current one does not respond, or none if no allocator responds.
     pub fn time_to_switch(&self, group: Group, now: Duration) -> Option<Duration> {
         let current = self.current(group, now)?;
-        Some(ALLOCATOR_TIMEOUT.saturating_sub(self.unresponsive_time(&current.run, now)))
+        Some(ALLOCATOR_TIMEOUT.saturating_sub(self.unresponsive_time(&current.process, now)))
     }
 
     fn is_unresponsive(&self, process: &ProcessId, now: Duration) -> bool {
--- a/coordination/src/gateway/recent_programs.rs
+++ b/coordination/src/gateway/recent_programs.rs
@@ -12,7 +12,7 @@
 
 use rosebend_state::deployment::{ProgramKey, Row, RowId};
 
-use crate::gateway::gatherers::{Candidate, ranked_by};
+use crate::gateway::batchers::{PeerHost, rank_hosts};
 use crate::gateway::history::{belongs_to_turn, partition_of, program_of};
 
 /// Maximum size of the cache, in bytes of keys and values. It holds the programs of a few
@@ -100,10 +100,10 @@
 /// are no hosts. The programs of one partition have the same keeper.
 pub fn keeper<'a, A>(
     program: &str,
-    hosts: impl Iterator<Item = &'a Candidate<A>>,
-) -> Option<&'a Candidate<A>> {
+    hosts: impl Iterator<Item = &'a PeerHost<A>>,
+) -> Option<&'a PeerHost<A>> {
     let work = format!("history/{}", partition_of(program));
-    ranked_by(&work, hosts).into_iter().next()
+    rank_hosts(&work, hosts).into_iter().next()
 }
 
 fn bytes_of(row: &Row) -> usize {
--- a/coordination/tests/escrow_sim/mod.rs
+++ b/coordination/tests/escrow_sim/mod.rs
@@ -4,6 +4,7 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
+use rosebend_coordination::gateway::batchers::PeerHost;
 use rosebend_coordination::gateway::escrow::accounts::GrantRequest;
 use rosebend_coordination::gateway::escrow::first_grant_tokens;
 use rosebend_coordination::gateway::escrow::hold_off::HoldOffRow;
@@ -11,7 +12,6 @@
 use rosebend_coordination::gateway::escrow::slot::{SlotId, SlotRow, SlotWrite};
 use rosebend_coordination::gateway::escrow::slots::{Owner, Slots};
 use rosebend_coordination::gateway::escrow::terms::{CloseReplies, EscrowTerms};
-use rosebend_coordination::gateway::gatherers::Candidate;
 use rosebend_coordination::gateway::history::partition_of;
 use rosebend_coordination::gateway::ledger::Ledger;
 use rosebend_coordination::gateway::pending_changes::{Answer, Change, Outcome, PendingChanges};
@@ -128,16 +128,12 @@
         if !self.is_store_up {
             return;
         }
-        let candidates = self
-            .hosts
-            .iter()
-            .enumerate()
-            .map(|(index, host)| Candidate {
-                host: format!("host-{index}"),
-                run: host.process.clone(),
-                address: index,
-                processor_milli: 500,
-            });
+        let candidates = self.hosts.iter().enumerate().map(|(index, host)| PeerHost {
+            host: format!("host-{index}"),
+            process: host.process.clone(),
+            address: index,
+            processor_milli: 500,
+        });
         let candidates = candidates.collect();
         let now = self.now;
         let slots = &mut self.hosts[host].slots;
@@ -333,7 +329,7 @@
         let from = self.hosts[host].process.clone();
         for successor in self.hosts[host].slots.successors(slot) {
             let to = successor.address;
-            let is_running = self.hosts[to].process == successor.run;
+            let is_running = self.hosts[to].process == successor.process;
             let is_isolated = self.hosts[to].is_isolated || self.hosts[host].is_isolated;
             if is_running && !is_isolated {
                 let reply = self.hosts[to]
--- a/coordination/tests/gateway_recent_programs.rs
+++ b/coordination/tests/gateway_recent_programs.rs
@@ -1,7 +1,7 @@
 //! Tests of the cache of recently written programs, and of the choice of its keeper.
 
 use proptest::prelude::*;
-use rosebend_coordination::gateway::gatherers::Candidate;
+use rosebend_coordination::gateway::batchers::PeerHost;
 use rosebend_coordination::gateway::history::{ledger_row, partition_of};
 use rosebend_coordination::gateway::recent_programs::{RecentPrograms, keeper};
 use rosebend_state::deployment::{Row, RowId};
@@ -69,10 +69,10 @@
 /// Each host must choose the same keeper for a program, and the keepers must share the load.
 #[test]
 fn partitions_are_distributed_over_the_hosts_of_a_zone() {
-    let hosts: Vec<Candidate<usize>> = (0..125)
-        .map(|number| Candidate {
+    let hosts: Vec<PeerHost<usize>> = (0..125)
+        .map(|number| PeerHost {
             host: format!("host-{number}"),
-            run: format!("host-{number}/1"),
+            process: format!("host-{number}/1"),
             address: number,
             processor_milli: 500,
         })
@@ -88,7 +88,7 @@
         "{} keepers",
         keepers.len()
     );
-    let none: [Candidate<usize>; 0] = [];
+    let none: [PeerHost<usize>; 0] = [];
     assert!(keeper("program", none.iter()).is_none());
 }
 
--- a/coordination/tests/limit_sim/mod.rs
+++ b/coordination/tests/limit_sim/mod.rs
@@ -9,7 +9,7 @@
 
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use rosebend_coordination::gateway::gatherers::Candidate;
+use rosebend_coordination::gateway::batchers::PeerHost;
 use rosebend_coordination::gateway::limits::local_quota::RequestClass;
 use rosebend_coordination::gateway::limits::message::{AllocatorRequest, AllocatorResponse};
 use rosebend_coordination::gateway::limits::{Decision, HostLimits, Tolerance};
@@ -210,9 +210,9 @@
 
     fn publish_hosts(&mut self) {
         let candidates = self.hosts.iter().enumerate();
-        let candidates = candidates.map(|(index, host)| Candidate {
+        let candidates = candidates.map(|(index, host)| PeerHost {
             host: format!("host-{index}"),
-            run: process_id(index, host.incarnations),
+            process: process_id(index, host.incarnations),
             address: index,
             processor_milli: if index % 2 == 0 { 500 } else { 90 },
         });
--- a/gateway/src/escrow/giving_up.rs
+++ b/gateway/src/escrow/giving_up.rs
@@ -4,9 +4,9 @@
 use std::time::Duration;
 
 use futures_util::future::join_all;
+use rosebend_coordination::gateway::batchers::PeerHost;
 use rosebend_coordination::gateway::escrow::message::{Ask, Reply};
 use rosebend_coordination::gateway::escrow::slot::{SlotId, SlotWrite};
-use rosebend_coordination::gateway::gatherers::Candidate;
 use rosebend_coordination::gateway::ledger::ProcessId;
 use rosebend_state::deployment::RowId;
 use rosebend_transport::event::{Event, EventKind, log_event};
@@ -113,9 +113,12 @@
     async fn successor(&self, slot: &SlotId) -> Option<ProcessId> {
         let mut candidates = self.slots.borrow().successors(slot);
         candidates.truncate(MAX_ASKED);
-        for Candidate { run, address, .. } in candidates {
-            if self.ask_run(&run, address, slot, Ask::Accept).await == Some(Reply::Noted) {
-                return Some(run);
+        for PeerHost {
+            process, address, ..
+        } in candidates
+        {
+            if self.ask_run(&process, address, slot, Ask::Accept).await == Some(Reply::Noted) {
+                return Some(process);
             }
         }
         None
@@ -124,6 +127,6 @@
     fn address_of(&self, run: &ProcessId) -> Option<SocketAddr> {
         let slots = self.slots.borrow();
         let mut peers = slots.peers();
-        Some(peers.find(|host| host.run == *run)?.address)
+        Some(peers.find(|host| host.process == *run)?.address)
     }
 }
--- a/gateway/src/feeds.rs
+++ b/gateway/src/feeds.rs
@@ -21,8 +21,8 @@
 use std::time::Duration;
 
 use futures_util::future::try_join_all;
+use rosebend_coordination::gateway::batchers::PeerHost;
 use rosebend_coordination::gateway::follow_tree::{FollowTree, Source};
-use rosebend_coordination::gateway::gatherers::Candidate;
 use rosebend_coordination::gateway::replica::{TableChanges, TableReplica};
 use rosebend_protocol::follow::FollowAnswer;
 use rosebend_state::deployment::{Row, RowRange, RowVersion};
@@ -106,7 +106,7 @@
     }
 
     /// Takes the hosts of the availability zone, this one among them.
-    pub fn set_hosts(&self, hosts: Vec<Candidate<SocketAddr>>) {
+    pub fn set_hosts(&self, hosts: Vec<PeerHost<SocketAddr>>) {
         let is_there = |address: &SocketAddr| hosts.iter().any(|host| host.address == *address);
         self.connections.retain(is_there);
         self.tree.borrow_mut().set_hosts(hosts);
@@ -133,7 +133,7 @@
     /// it.
     pub async fn take_hosts_from(
         self: &Rc<Self>,
-        hosts: &[Candidate<SocketAddr>],
+        hosts: &[PeerHost<SocketAddr>],
     ) -> Option<Followed> {
         let table = FollowedTable::Gateways;
         for host in hosts {
@@ -227,9 +227,12 @@
         source
     }
 
-    fn avoid(&self, host: &Candidate<SocketAddr>, reason: &'static str) {
+    fn avoid(&self, host: &PeerHost<SocketAddr>, reason: &'static str) {
         let now = self.clock.now();
-        let wait = self.tree.borrow_mut().silent(&host.host, &host.run, now);
+        let wait = self
+            .tree
+            .borrow_mut()
+            .record_timeout(&host.host, &host.process, now);
         if let Some(wait) = wait {
             let event = Event::new(EventKind::FeedSourceAvoided).host(&host.host);
             log_event(&event.wait_ms(whole_ms(wait)).reason(reason));
@@ -239,7 +242,7 @@
 
     async fn take_answer(
         self: &Rc<Self>,
-        host: &Candidate<SocketAddr>,
+        host: &PeerHost<SocketAddr>,
         table: FollowedTable,
         answered: Answered,
     ) -> Result<Followed, StoreError> {
@@ -258,7 +261,7 @@
             followed = self.apply(table, changes, current_at);
         }
         if !is_stale {
-            self.tree.borrow_mut().answered(&host.host);
+            self.tree.borrow_mut().record_response(&host.host);
             self.metrics.count_feed(FeedSource::Host);
             return Ok(followed);
         }
@@ -274,7 +277,7 @@
 
     fn record_store_state(
         self: &Rc<Self>,
-        host: &Candidate<SocketAddr>,
+        host: &PeerHost<SocketAddr>,
         answer: &FollowAnswer,
         answered_at: Duration,
     ) {
@@ -287,7 +290,7 @@
 
     /// Finds out whether the store is away from this host, too, or only from the host
     /// above, which then receives no changes.
-    async fn check_store(self: Rc<Self>, host: Candidate<SocketAddr>) {
+    async fn check_store(self: Rc<Self>, host: PeerHost<SocketAddr>) {
         let table = FollowedTable::Gateways.name();
         if self.store.probe(table, "").await {
             self.avoid(&host, "cut-off");
@@ -317,7 +320,7 @@
     }
 
     fn store_wait(&self, table: FollowedTable) -> Duration {
-        table.store_wait(self.tree.borrow().has_followers())
+        table.store_wait(self.tree.borrow().has_children())
     }
 
     /// Reads all rows of a table. The version is the least of all partitions', so that
--- a/gateway/src/feeds/ask.rs
+++ b/gateway/src/feeds/ask.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use rosebend_coordination::gateway::gatherers::Candidate;
+use rosebend_coordination::gateway::batchers::PeerHost;
 use rosebend_protocol::follow::{
     FollowAnswer, FollowError, FollowRequest, decode_answer, encode_request,
 };
@@ -51,13 +51,13 @@
 impl Feeds {
     pub(super) async fn ask(
         &self,
-        host: &Candidate<SocketAddr>,
+        host: &PeerHost<SocketAddr>,
         table: FollowedTable,
         wait: Duration,
     ) -> Result<Answered, AskError> {
         let latest = self.clock.now() + wait + ANSWER_TIMEOUT;
         let question = encode_request(&FollowRequest {
-            asked_run: host.run.clone(),
+            asked_run: host.process.clone(),
             table: table.name().to_owned(),
             after: self.version(table),
             wait,
--- a/gateway/src/joined_commits.rs
+++ b/gateway/src/joined_commits.rs
@@ -16,8 +16,10 @@
 
 use futures_util::StreamExt;
 use futures_util::stream::FuturesUnordered;
-use rosebend_coordination::gateway::gatherers::{Candidate, Gatherers};
-use rosebend_coordination::gateway::group_commit::{GroupCommit, LateId, PartId, pace};
+use rosebend_coordination::gateway::batchers::{Batchers, PeerHost};
+use rosebend_coordination::gateway::group_commit::{
+    BatchEntryId, GroupCommit, OverdueBatchId, min_batch_interval,
+};
 use rosebend_coordination::gateway::history::PARTITIONS;
 use rosebend_coordination::gateway::ledger::ProcessId;
 use rosebend_coordination::gateway::pending_changes::Answer;
@@ -46,7 +48,7 @@
 #[derive(Debug, Default)]
 struct Partition {
     group: GroupCommit,
-    waiters: HashMap<PartId, Waiter>,
+    waiters: HashMap<BatchEntryId, Waiter>,
     is_sending: bool,
     /// When the next transaction may go.
     next_at: Duration,
@@ -68,7 +70,7 @@
     clock: Clock,
     /// Least time between two transactions of a partition.
     pace: Cell<Duration>,
-    gatherers: RefCell<Gatherers<SocketAddr>>,
+    gatherers: RefCell<Batchers<SocketAddr>>,
     /// How long a gatherer that has a transaction may take to say how it ended,
     /// before the next way is tried, too; four times what it took lately.
     timeout: Cell<Duration>,
@@ -82,7 +84,7 @@
     /// By this host, joined with what others sent here.
     Here,
     /// By another host.
-    By(Candidate<SocketAddr>),
+    By(PeerHost<SocketAddr>),
 }
 
 /// How one way ended.
@@ -118,14 +120,14 @@
 
     /// Takes the rate of writes that the store declares, for all hosts together.
     pub fn set_writes_per_s(&self, writes_per_s: u64) {
-        self.pace.set(pace(PARTITIONS, writes_per_s));
+        self.pace.set(min_batch_interval(PARTITIONS, writes_per_s));
     }
 
     /// Takes all hosts that are there, this one among them.
-    pub fn set_hosts(&self, hosts: Vec<Candidate<SocketAddr>>) {
+    pub fn set_hosts(&self, hosts: Vec<PeerHost<SocketAddr>>) {
         let is_there = |address: &SocketAddr| hosts.iter().any(|host| host.address == *address);
         self.connections.retain(is_there);
-        self.gatherers.borrow_mut().set(hosts);
+        self.gatherers.borrow_mut().set_hosts(hosts);
     }
 
     /// Parts that wait here for the store, of all hosts.
@@ -133,7 +135,7 @@
         let partitions = self.partitions.borrow();
         partitions
             .values()
-            .map(|known| known.group.open_parts())
+            .map(|known| known.group.open_entries())
             .sum()
     }
 
@@ -190,7 +192,7 @@
         }
         let gatherers = self.gatherers.borrow();
         for candidate in gatherers.ranked(partition_of(transaction), self.clock.now()) {
-            if candidate.run == self.own_run {
+            if candidate.process == self.own_run {
                 break;
             }
             ways.push(Way::By(candidate.clone()));
@@ -235,7 +237,7 @@
 
     async fn try_by(
         &self,
-        candidate: &Candidate<SocketAddr>,
+        candidate: &PeerHost<SocketAddr>,
         transaction: &Transaction,
         accepted: &Cell<bool>,
     ) -> Tried {
@@ -251,7 +253,7 @@
         let took = self.clock.now().saturating_sub(asked_at);
         self.timeout.set(next_timeout(self.timeout.get(), took));
         if matches!(committed, Committed::Applied(_) | Committed::Conflict(_)) {
-            self.gatherers.borrow_mut().answered(&candidate.host);
+            self.gatherers.borrow_mut().record_response(&candidate.host);
             self.store
                 .note_partition_answered(partition_of(transaction));
         }
@@ -276,10 +278,10 @@
         }
     }
 
-    fn avoid(&self, candidate: &Candidate<SocketAddr>, reason: &'static str) {
+    fn avoid(&self, candidate: &PeerHost<SocketAddr>, reason: &'static str) {
         let now = self.clock.now();
         let mut gatherers = self.gatherers.borrow_mut();
-        if let Some(wait) = gatherers.silent(&candidate.host, &candidate.run, now) {
+        if let Some(wait) = gatherers.record_timeout(&candidate.host, &candidate.process, now) {
             let event = Event::new(EventKind::GathererAvoided).host(&candidate.host);
             log_event(&event.wait_ms(whole_ms(wait)).reason(reason));
         }
@@ -347,9 +349,9 @@
     }
 
     /// Counts the transaction on its way as late.
-    fn go_on(&self, name: &str) -> Option<LateId> {
+    fn go_on(&self, name: &str) -> Option<OverdueBatchId> {
         let mut partitions = self.partitions.borrow_mut();
-        partitions.get_mut(name)?.group.go_on()
+        partitions.get_mut(name)?.group.mark_overdue()
     }
 
     /// When a partition's next transaction may go.
@@ -369,7 +371,7 @@
         transaction
     }
 
-    fn answered(self: &Rc<Self>, name: &str, late: Option<LateId>, outcome: Outcome) {
+    fn answered(self: &Rc<Self>, name: &str, late: Option<OverdueBatchId>, outcome: Outcome) {
         let mut partitions = self.partitions.borrow_mut();
         let Some(partition) = partitions.get_mut(name) else {
             return;
@@ -380,13 +382,13 @@
             Err(error) => (Answer::NotKnown, Some(error)),
         };
         let ended = match late {
-            Some(late) => partition.group.answered_late(late, answer),
-            None => partition.group.answered(answer),
+            Some(late) => partition.group.record_overdue_answer(late, answer),
+            None => partition.group.record_answer(answer),
         };
         self.metrics.count_joined(ended.len());
         partition.tell(ended, error);
         // Others may have waited for its rows alone.
-        if partition.group.has_waiting() {
+        if partition.group.has_pending() {
             self.start_sending(partition, name.to_owned());
         }
     }
@@ -394,7 +396,7 @@
 
 impl Partition {
     /// Tells who asked. `error` is why nothing is known, where that is the answer.
-    fn tell(&mut self, ended: Vec<(PartId, Answer)>, error: Option<StoreError>) {
+    fn tell(&mut self, ended: Vec<(BatchEntryId, Answer)>, error: Option<StoreError>) {
         for (id, answer) in ended {
             let outcome = match answer {
                 Answer::Applied(version) => Ok(Transacted::Applied(version)),
--- a/gateway/src/joined_commits/ask.rs
+++ b/gateway/src/joined_commits/ask.rs
@@ -8,7 +8,7 @@
 use actix_http::body::{BodyStream, BoxBody, MessageBody};
 use actix_http::{Response, StatusCode};
 use bytes::Bytes;
-use rosebend_coordination::gateway::gatherers::Candidate;
+use rosebend_coordination::gateway::batchers::PeerHost;
 use rosebend_coordination::gateway::history::partitions;
 use rosebend_coordination::gateway::ledger::ProcessId;
 use rosebend_protocol::commit::{
@@ -54,11 +54,11 @@
 /// Tells why nothing is known of the transaction.
 pub async fn ask(
     connections: &PeerConnections,
-    gatherer: &Candidate<SocketAddr>,
+    gatherer: &PeerHost<SocketAddr>,
     transaction: &Transaction,
     accepted: &Cell<bool>,
 ) -> Result<Committed, AskError> {
-    let question = encode_request(&gatherer.run, transaction);
+    let question = encode_request(&gatherer.process, transaction);
     let answer = connections.ask(gatherer.address, PATH, question, accepted);
     Ok(decode_committed(&answer.await?)?)
 }
--- a/gateway/src/limits.rs
+++ b/gateway/src/limits.rs
@@ -10,7 +10,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use rosebend_coordination::gateway::gatherers::Candidate;
+use rosebend_coordination::gateway::batchers::PeerHost;
 use rosebend_coordination::gateway::ledger::ProcessId;
 use rosebend_coordination::gateway::limits::local_quota::RequestClass;
 use rosebend_coordination::gateway::limits::message::{AllocatorRequest, AllocatorResponse};
@@ -80,7 +80,7 @@
     }
 
     /// Takes all hosts that are there, this one among them.
-    pub fn set_hosts(&self, hosts: Vec<Candidate<SocketAddr>>) {
+    pub fn set_hosts(&self, hosts: Vec<PeerHost<SocketAddr>>) {
         self.state.borrow_mut().set_hosts(hosts);
     }
 
