--- a/gateway/benches/cost.rs
+++ b/gateway/benches/cost.rs
@@ -18,7 +18,7 @@
 use rosebend_standin::store::StoreFaults;
 use rosebend_transport::clock::Clock;
 use rosebend_transport::connection::Connection;
-use support::{Ask, Gateway, Site};
+use support::{Gateway, Site, TestRequest};
 
 /// How long each load lasts.
 const LOAD_TIME: Duration = Duration::from_secs(8);
@@ -112,14 +112,14 @@
         slow_ms: STORE_TIME_MS,
         ..StoreFaults::default()
     };
-    site.faults(&slow).await;
+    site.set_store_faults(&slow).await;
     site
 }
 
 async fn measure(load: Load) {
     let site = site().await;
-    let gateway = Gateway::start_reading(site.door.address(), load.reads_on);
-    gateway.until_ready().await;
+    let gateway = Gateway::start_with_output(site.store_listener.address(), load.reads_on);
+    gateway.wait_until_ready().await;
     actix_rt::time::sleep(Duration::from_secs(1)).await;
     let before = (ticks(&gateway), site.store.stats(), gateway.log());
     let times = run(load, gateway.front).await;
@@ -176,8 +176,8 @@
 /// Memory of a gateway that has served a turn of each of many programs.
 async fn measure_memory() {
     let site = site().await;
-    let gateway = Gateway::start(site.door.address());
-    gateway.until_ready().await;
+    let gateway = Gateway::start(site.store_listener.address());
+    gateway.wait_until_ready().await;
     let before = memory_mb(&gateway);
     let mut connection = Connection::open(gateway.front).await.unwrap();
     for number in 0..OPEN_PROGRAMS {
@@ -217,7 +217,7 @@
         }
         tokio::time::sleep_until(clock.instant(due)).await;
         let ask = match load.kind {
-            Kind::ToolCall => Ask::get("/lookup/x").attempt(&format!("a{caller}-{number}")),
+            Kind::ToolCall => TestRequest::get("/lookup/x").attempt(&format!("a{caller}-{number}")),
             Kind::Turn => turn(caller, number / PROGRAM_TURNS, number % PROGRAM_TURNS),
         };
         let started = clock.now();
@@ -233,11 +233,11 @@
     times
 }
 
-fn turn(caller: u32, program: u32, turn: u32) -> Ask {
+fn turn(caller: u32, program: u32, turn: u32) -> TestRequest {
     let program = format!("p{caller}-{program}");
     let attempt = format!("{program}-{turn}");
     let input = "x".repeat(1_200);
-    let ask = Ask::turn(&attempt, &program, &input).header("token-budget", "100000");
+    let ask = TestRequest::turn(&attempt, &program, &input).header("token-budget", "100000");
     match turn {
         0 => ask,
         _ => ask.previous(&format!("{program}-{}", turn - 1)),
--- a/gateway/tests/budget.rs
+++ b/gateway/tests/budget.rs
@@ -19,28 +19,28 @@
 
 use rosebend_standin::backend::BackendFaults;
 use rosebend_standin::store::StoreFaults;
-use support::{Ask, Gateway, Site, until};
+use support::{Gateway, Site, TestRequest, wait_until};
 
 const MODELS: usize = 0;
 
 /// A turn that may generate 100 tokens, and generates 30.
-fn turn(attempt: &str, budget_tokens: u64) -> Ask {
-    Ask::turn(attempt, "p1", "x").header("token-budget", &budget_tokens.to_string())
+fn turn(attempt: &str, budget_tokens: u64) -> TestRequest {
+    TestRequest::turn(attempt, "p1", "x").header("token-budget", &budget_tokens.to_string())
 }
 
 #[actix_rt::test]
 async fn a_turn_that_found_no_room_at_one_host_is_served_at_another() {
     let site = Site::start();
-    let gateways = site.two_ready_gateways().await;
+    let gateways = site.start_two_ready_gateways().await;
     let full = BackendFaults {
         refuse: 1,
         ..BackendFaults::default()
     };
-    site.endpoint_faults(MODELS, &full).await;
+    site.set_endpoint_faults(MODELS, &full).await;
     // The budget holds this turn and no other beside it.
     let refused = turn("t1", 100).send(gateways[0].front).await;
     assert_eq!(refused.status, 503);
-    assert_eq!(site.times_run("t1").await, 0);
+    assert_eq!(site.run_count("t1").await, 0);
     let served = turn("t2", 100).send(gateways[1].front).await;
     assert_eq!(served.status, 200, "{}", served.body);
     // Now 30 are spent, and it holds no more.
@@ -51,11 +51,11 @@
 #[actix_rt::test]
 async fn what_a_killed_host_had_drawn_is_no_program_s_loss() {
     let site = Site::start();
-    let mut first = site.ready_gateway().await;
+    let mut first = site.start_ready_gateway().await;
     let answer = turn("t1", 200).send(first.front).await;
     assert_eq!(answer.status, 200);
     first.kill();
-    let second = site.ready_gateway().await;
+    let second = site.start_ready_gateway().await;
     // 30 tokens are spent, so that the budget holds one more turn.
     let next = turn("t2", 200).previous("t1");
     let answer = next.send(second.front).await;
@@ -75,27 +75,27 @@
 /// that each death may leave one behind.
 #[actix_rt::test]
 async fn what_two_killed_hosts_held_is_no_program_s_loss() {
-    type Asking = fn(&str, u64) -> Ask;
+    type Asking = fn(&str, u64) -> TestRequest;
     for ask in [turn as Asking, unkept as Asking] {
         two_hosts_are_killed(ask).await;
     }
 }
 
-async fn two_hosts_are_killed(ask: impl Fn(&str, u64) -> Ask) {
+async fn two_hosts_are_killed(ask: impl Fn(&str, u64) -> TestRequest) {
     let site = Site::start();
-    let mut first = site.ready_gateway().await;
+    let mut first = site.start_ready_gateway().await;
     assert_eq!(ask("t1", 230).send(first.front).await.status, 200);
     until_settled(&first).await;
     first.kill();
-    let mut second = site.ready_gateway().await;
+    let mut second = site.start_ready_gateway().await;
     let next = ask("t2", 230).previous("t1");
     assert_eq!(next.send(second.front).await.status, 200);
     until_settled(&second).await;
     // The only endpoint from now on takes requests and runs none.
     let mute = TcpListener::bind("127.0.0.1:0").unwrap();
-    site.announce_at("i-mute", "models", mute.local_addr().unwrap());
+    site.announce_external("i-mute", "models", mute.local_addr().unwrap());
     site.announce(MODELS, "draining");
-    until("only the mute endpoint is there", async || {
+    wait_until("only the mute endpoint is there", async || {
         !second.events("endpoint-withdrawn").is_empty()
     })
     .await;
@@ -103,16 +103,16 @@
     let front = second.front;
     let lost = ask("t3", 230).previous("t2");
     let lost = actix_rt::spawn(async move { lost.send(front).await });
-    until("its tokens are reserved", async || {
+    wait_until("its tokens are reserved", async || {
         second.metric("joined_parts_total").await > before
     })
     .await;
     second.kill();
     assert_eq!(lost.await.unwrap().status, 0);
-    assert_eq!(site.times_run("t3").await, 0);
+    assert_eq!(site.run_count("t3").await, 0);
     site.announce(MODELS, "ready");
     site.store.delete("servers", "i-mute");
-    let third = site.ready_gateway().await;
+    let third = site.start_ready_gateway().await;
     // 60 tokens are spent, and nothing runs: the budget holds one more turn.
     let answer = ask("t4", 230).previous("t2").send(third.front).await;
     assert_eq!(answer.status, 200, "{}", answer.body);
@@ -121,7 +121,7 @@
 #[actix_rt::test]
 async fn a_host_holds_nothing_for_turns_that_have_not_come() {
     let site = Site::start();
-    let gateways = site.two_ready_gateways().await;
+    let gateways = site.start_two_ready_gateways().await;
     let [first, second] = &gateways;
     assert_eq!(turn("t1", 230).send(first.front).await.status, 200);
     // 30 tokens are spent. Two turns at the second host need all that is left.
@@ -129,7 +129,7 @@
         delay_ms: 200,
         ..BackendFaults::default()
     };
-    site.endpoint_faults(MODELS, &paced).await;
+    site.set_endpoint_faults(MODELS, &paced).await;
     let ask = |attempt| turn(attempt, 230).previous("t1");
     let (one, other) = (ask("t2"), ask("t3"));
     let answers = futures_util::join!(one.send(second.front), other.send(second.front));
@@ -153,10 +153,10 @@
         .open_door(TcpListener::bind("127.0.0.1:0").unwrap())
         .unwrap();
     // It commits by no other host, which the store answers.
-    let cut_off = Gateway::start_strong(door.address());
-    let other = site.gateway();
-    cut_off.until_ready().await;
-    other.until_ready().await;
+    let cut_off = Gateway::start_batcher(door.address());
+    let other = site.start_gateway();
+    cut_off.wait_until_ready().await;
+    other.wait_until_ready().await;
     // The first turn breaks off after some events; its host is cut off from the
     // store before it can say so there.
     let breaking = BackendFaults {
@@ -164,10 +164,10 @@
         delay_ms: 100,
         ..BackendFaults::default()
     };
-    site.endpoint_faults(MODELS, &breaking).await;
+    site.set_endpoint_faults(MODELS, &breaking).await;
     let broken = turn("t1", 150);
     let cutting = async {
-        until("its tokens are reserved", async || {
+        wait_until("its tokens are reserved", async || {
             site.rows("programs") > 0
         })
         .await;
@@ -175,10 +175,10 @@
             silent: true,
             ..StoreFaults::default()
         };
-        support::set_faults(&door, &silent).await;
+        support::set_listener_faults(&door, &silent).await;
     };
     let (broken, ()) = futures_util::join!(broken.send(cut_off.front), cutting);
-    assert!(!broken.is_whole);
+    assert!(!broken.is_complete);
     let mut number = 2;
     loop {
         let answer = turn(&format!("t{number}"), 150).send(other.front).await;
@@ -201,7 +201,7 @@
 /// Whether a turn was told by the holder of another one's tokens that this one is
 /// being settled.
 async fn saw_settling(gateway: &Gateway, attempt: &str) -> bool {
-    until("the turn's end is in the log", async || {
+    wait_until("the turn's end is in the log", async || {
         let ended = gateway.events("request-ended");
         let served = gateway.events("request-served");
         let mut ends = ended.iter().chain(&served);
@@ -216,14 +216,17 @@
 }
 
 /// A turn like those of [`turn`] on a route that keeps no history.
-fn unkept(attempt: &str, budget_tokens: u64) -> Ask {
-    turn(attempt, budget_tokens).at("/unkept/stream/turn")
+fn unkept(attempt: &str, budget_tokens: u64) -> TestRequest {
+    turn(attempt, budget_tokens).at_path("/unkept/stream/turn")
 }
 
 /// Waits for settlements that are on their way when their answers end.
 async fn until_settled(gateway: &Gateway) {
-    until("all is settled", async || {
-        let page = Ask::get("/metrics").send(gateway.metrics).await.body;
+    wait_until("all is settled", async || {
+        let page = TestRequest::get("/metrics")
+            .send(gateway.metrics)
+            .await
+            .body;
         page.contains("open_changes 0")
     })
     .await;
@@ -232,13 +235,13 @@
 #[actix_rt::test]
 async fn a_budget_holds_on_a_route_without_history() {
     let site = Site::start();
-    let gateways = site.two_ready_gateways().await;
+    let gateways = site.start_two_ready_gateways().await;
     let mut statuses = Vec::new();
     for number in 0..10 {
         let attempt = format!("t{number}");
         let answer = unkept(&attempt, 300).send(gateways[number % 2].front).await;
         statuses.push(answer.status);
-        let ran = site.times_run(&attempt).await;
+        let ran = site.run_count(&attempt).await;
         assert_eq!(ran, u64::from(answer.status == 200), "{attempt}");
     }
     // The seventh turn finds 180 tokens spent, the eighth 210.
@@ -250,7 +253,7 @@
 #[actix_rt::test]
 async fn a_spent_budget_is_refused_without_a_read() {
     let site = Site::start();
-    let gateway = site.ready_gateway().await;
+    let gateway = site.start_ready_gateway().await;
     for number in 0..7 {
         let answer = unkept(&format!("t{number}"), 300).send(gateway.front).await;
         assert_eq!(answer.status, 200);
@@ -268,14 +271,14 @@
 #[actix_rt::test]
 async fn a_budget_without_history_outlives_all_hosts() {
     let site = Site::start();
-    let mut first = site.ready_gateway().await;
+    let mut first = site.start_ready_gateway().await;
     for attempt in ["t1", "t2", "t3"] {
         let answer = unkept(attempt, 190).send(first.front).await;
         assert_eq!(answer.status, 200);
     }
     until_settled(&first).await;
     first.kill();
-    let second = site.ready_gateway().await;
+    let second = site.start_ready_gateway().await;
     assert_eq!(unkept("t4", 190).send(second.front).await.status, 200);
     assert_eq!(unkept("t5", 190).send(second.front).await.status, 402);
 }
@@ -283,7 +286,7 @@
 #[actix_rt::test]
 async fn turns_without_history_cost_a_write_each() {
     let (site, gateway) = Site::start_with_gateway().await;
-    until("its row is written", async || {
+    wait_until("its row is written", async || {
         site.store.stats().transactions > 0
     })
     .await;
@@ -297,18 +300,18 @@
     // before, and the last settlement went alone.
     assert_eq!(site.store.stats().transactions - before, 1 + 5);
     // With the store away nobody can say that the budget holds a turn.
-    site.faults(&StoreFaults::refusing()).await;
-    gateway.until_unready().await;
+    site.set_store_faults(&StoreFaults::refusing()).await;
+    gateway.wait_until_not_ready().await;
     let refused = unkept("t5", 1_000).send(gateway.front).await;
     assert_eq!(refused.status, 503, "{}", refused.body);
     assert!(refused.retry_after_s().is_some());
-    assert_eq!(site.times_run("t5").await, 0);
+    assert_eq!(site.run_count("t5").await, 0);
 }
 
 #[actix_rt::test]
 async fn a_settlement_that_is_put_off_is_written_when_another_host_asks() {
     let site = Site::start();
-    let gateways = site.two_ready_gateways().await;
+    let gateways = site.start_two_ready_gateways().await;
     let [first, second] = &gateways;
     assert_eq!(unkept("t1", 150).send(first.front).await.status, 200);
     // 30 tokens are spent. Until that is written, the turn counts 100.
@@ -321,12 +324,12 @@
 #[actix_rt::test]
 async fn a_request_without_a_program_needs_no_store() {
     let (site, gateway) = Site::start_with_gateway().await;
-    until("its row is written", async || {
+    wait_until("its row is written", async || {
         site.store.stats().transactions > 0
     })
     .await;
     let before = site.store.stats().transactions;
-    let ask = Ask::new(http::Method::POST, "/unkept/stream/turn").attempt("t1");
+    let ask = TestRequest::new(http::Method::POST, "/unkept/stream/turn").attempt("t1");
     assert_eq!(ask.send(gateway.front).await.status, 200);
     assert_eq!(site.store.stats().transactions, before);
 }
@@ -339,10 +342,10 @@
         .open_door(TcpListener::bind("127.0.0.1:0").unwrap())
         .unwrap();
     // It commits by no other host, which the store answers.
-    let cut_off = Gateway::start_strong(door.address());
-    let other = site.gateway();
-    cut_off.until_ready().await;
-    other.until_ready().await;
+    let cut_off = Gateway::start_batcher(door.address());
+    let other = site.start_gateway();
+    cut_off.wait_until_ready().await;
+    other.wait_until_ready().await;
     assert_eq!(unkept("t1", 250).send(cut_off.front).await.status, 200);
     until_settled(&cut_off).await;
     // The second turn ends while its host is cut off.
@@ -350,18 +353,18 @@
         delay_ms: 100,
         ..BackendFaults::default()
     };
-    site.endpoint_faults(MODELS, &paced).await;
+    site.set_endpoint_faults(MODELS, &paced).await;
     let used = unkept("t2", 250);
     let cutting = async {
-        until("the turn runs", async || site.times_run("t2").await > 0).await;
+        wait_until("the turn runs", async || site.run_count("t2").await > 0).await;
         let silent = StoreFaults {
             silent: true,
             ..StoreFaults::default()
         };
-        support::set_faults(&door, &silent).await;
+        support::set_listener_faults(&door, &silent).await;
     };
     let (used, ()) = futures_util::join!(used.send(cut_off.front), cutting);
-    assert_eq!((used.status, used.is_whole), (200, true));
+    assert_eq!((used.status, used.is_complete), (200, true));
     // 60 tokens are spent, so that the budget holds one turn beside another.
     let (one, two) = (unkept("t3", 250), unkept("t4", 250));
     let answers = futures_util::join!(one.send(other.front), two.send(other.front));
@@ -373,21 +376,21 @@
 #[actix_rt::test]
 async fn a_host_that_stops_answers_for_the_turns_that_it_runs() {
     let site = Site::start();
-    let stopping = site.gateway();
-    let other = site.gateway();
-    stopping.until_ready().await;
-    other.until_ready().await;
+    let stopping = site.start_gateway();
+    let other = site.start_gateway();
+    stopping.wait_until_ready().await;
+    other.wait_until_ready().await;
     assert_eq!(turn("t1", 230).send(stopping.front).await.status, 200);
     let paced = BackendFaults {
         delay_ms: 300,
         ..BackendFaults::default()
     };
-    site.endpoint_faults(MODELS, &paced).await;
+    site.set_endpoint_faults(MODELS, &paced).await;
     let running = turn("t2", 230).previous("t1");
     let asking = async {
-        until("the turn runs", async || site.times_run("t2").await > 0).await;
+        wait_until("the turn runs", async || site.run_count("t2").await > 0).await;
         stopping.signal("TERM");
-        until("it stops", async || {
+        wait_until("it stops", async || {
             !stopping.events("process-stopping").is_empty()
         })
         .await;
@@ -400,7 +403,7 @@
         futures_util::join!(one.send(other.front), two.send(other.front))
     };
     let (running, answers) = futures_util::join!(running.send(stopping.front), asking);
-    assert_eq!((running.status, running.is_whole), (200, true));
+    assert_eq!((running.status, running.is_complete), (200, true));
     let mut statuses = [answers.0.status, answers.1.status];
     statuses.sort_unstable();
     assert_eq!(statuses, [200, 402]);
@@ -409,8 +412,8 @@
 #[actix_rt::test]
 async fn a_pause_gives_no_program_a_new_budget() {
     let site = Site::start();
-    let gateway = site.gateway();
-    gateway.until_ready().await;
+    let gateway = site.start_gateway();
+    gateway.wait_until_ready().await;
     assert_eq!(unkept("t1", 100).send(gateway.front).await.status, 200);
     assert_eq!(unkept("t2", 100).send(gateway.front).await.status, 402);
     // The route names no retention, and the test's margin is 500 ms; rows that
@@ -429,10 +432,10 @@
         .open_door(TcpListener::bind("127.0.0.1:0").unwrap())
         .unwrap();
     // It commits by no other host, whose store is not slow.
-    let slow = Gateway::start_strong(door.address());
-    let other = site.gateway();
-    slow.until_ready().await;
-    other.until_ready().await;
+    let slow = Gateway::start_batcher(door.address());
+    let other = site.start_gateway();
+    slow.wait_until_ready().await;
+    other.wait_until_ready().await;
     for (attempt, host) in [("t1", &slow), ("t2", &other)] {
         assert_eq!(unkept(attempt, 250).send(host.front).await.status, 200);
         until_settled(host).await;
@@ -441,8 +444,8 @@
         slow_ms: 250,
         ..StoreFaults::default()
     };
-    let faults =
-        Ask::new(http::Method::POST, "/faults").body(&serde_json::json!(faults).to_string());
+    let faults = TestRequest::new(http::Method::POST, "/faults")
+        .body(&serde_json::json!(faults).to_string());
     assert_eq!(faults.send(door.address()).await.status, 200);
     assert_eq!(unkept("t3", 250).send(slow.front).await.status, 200);
     // 90 tokens of 250 are spent, and the budget holds one more turn.
@@ -459,26 +462,26 @@
 #[actix_rt::test]
 async fn holders_that_are_listed_are_asked_without_a_read() {
     let site = Site::start();
-    let gateways = site.two_ready_gateways().await;
+    let gateways = site.start_two_ready_gateways().await;
     for gateway in &gateways {
-        gateway.until_peers(1).await;
+        gateway.wait_for_peers(1).await;
     }
     let [first, second] = &gateways;
     let paced = BackendFaults {
         delay_ms: 400,
         ..BackendFaults::default()
     };
-    site.endpoint_faults(MODELS, &paced).await;
+    site.set_endpoint_faults(MODELS, &paced).await;
     let front = first.front;
     let running = actix_rt::spawn(async move { unkept("t1", 150).send(front).await });
-    until("the turn runs", async || site.times_run("t1").await == 1).await;
+    wait_until("the turn runs", async || site.run_count("t1").await == 1).await;
     let reads = "store_calls_total{call=\"read\",outcome=\"done\"}";
     let before = second.metric(reads).await;
     assert_eq!(unkept("t2", 150).send(second.front).await.status, 402);
     // The ledger alone is read, once the holder has answered.
     assert_eq!(second.metric(reads).await, before + 1);
     // Lines of the log come after answers.
-    until("the holder was asked", async || {
+    wait_until("the holder was asked", async || {
         !second.events("holders-asked").is_empty()
     })
     .await;
--- a/gateway/tests/customers.rs
+++ b/gateway/tests/customers.rs
@@ -7,7 +7,7 @@
 use rosebend_standin::backend::BackendFaults;
 use rosebend_standin::store::StoreFaults;
 use serde_json::{Value, json};
-use support::{Answer, Ask, Gateway, Site, routes, until};
+use support::{Gateway, Site, TestRequest, TestResponse, routes, wait_until};
 
 const MODELS: usize = 0;
 const DESK: usize = 1;
@@ -41,7 +41,7 @@
 async fn start() -> (Site, Gateway) {
     let site = Site::without_routes();
     declare(&site, &two_customers(1));
-    let gateway = site.ready_gateway().await;
+    let gateway = site.start_ready_gateway().await;
     (site, gateway)
 }
 
@@ -49,19 +49,19 @@
     fn key(self, key: &str) -> Self;
 }
 
-impl Keyed for Ask {
+impl Keyed for TestRequest {
     fn key(self, key: &str) -> Self {
         self.header("authorization", &format!("Bearer {key}"))
     }
 }
 
-fn reason(answer: &Answer) -> String {
+fn reason(answer: &TestResponse) -> String {
     let problem: Value = serde_json::from_str(&answer.body).unwrap();
     problem["reason"].as_str().unwrap().to_owned()
 }
 
 async fn until_version(gateway: &Gateway, version: u64) {
-    until("the routes are in force", async || {
+    wait_until("the routes are in force", async || {
         gateway.metric("routes_version").await == version
     })
     .await;
@@ -70,9 +70,11 @@
 #[actix_rt::test]
 async fn an_endpoint_gets_the_customers_name_and_not_its_key() {
     let (site, gateway) = start().await;
-    let forged = Ask::lookup("a1").key(SHIP_KEY).header("tenant", "crew");
+    let forged = TestRequest::lookup("a1")
+        .key(SHIP_KEY)
+        .header("tenant", "crew");
     assert_eq!(forged.send(gateway.front).await.status, 200);
-    let turn = Ask::turn("t1", "p1", "first|").key(CREW_KEY);
+    let turn = TestRequest::turn("t1", "p1", "first|").key(CREW_KEY);
     assert_eq!(turn.send(gateway.front).await.status, 200);
     let lookup = site.runs(DESK).await["a1"].clone();
     assert_eq!(lookup.headers["tenant"], "ship");
@@ -87,14 +89,14 @@
     let mut site = Site::without_routes();
     let other = site.add_endpoint("desk");
     declare(&site, &two_customers(1));
-    let gateway = site.ready_gateway().await;
+    let gateway = site.start_ready_gateway().await;
     let faults = BackendFaults {
         refuse: 1_000,
         ..BackendFaults::default()
     };
-    site.endpoint_faults(DESK, &faults).await;
+    site.set_endpoint_faults(DESK, &faults).await;
     for number in 0..4 {
-        let ask = Ask::lookup(&format!("a{number}")).key(SHIP_KEY);
+        let ask = TestRequest::lookup(&format!("a{number}")).key(SHIP_KEY);
         assert_eq!(ask.send(gateway.front).await.status, 200);
     }
     let runs = site.runs(other).await;
@@ -109,29 +111,35 @@
 async fn a_request_without_a_known_key_is_refused_and_does_not_run() {
     let (site, gateway) = start().await;
     let table = [
-        (Ask::lookup("a1"), "no-key"),
-        (Ask::lookup("a2").key("nobodys-key"), "unknown-key"),
+        (TestRequest::lookup("a1"), "no-key"),
+        (TestRequest::lookup("a2").key("nobodys-key"), "unknown-key"),
         (
-            Ask::lookup("a3").header("authorization", "Bearer"),
+            TestRequest::lookup("a3").header("authorization", "Bearer"),
             "no-key",
         ),
-        (Ask::lookup("a4").header("authorization", ""), "no-key"),
         (
-            Ask::lookup("a5").header("authorization", SHIP_KEY),
+            TestRequest::lookup("a4").header("authorization", ""),
             "no-key",
         ),
         (
-            Ask::lookup("a6").header("authorization", &format!("Basic {SHIP_KEY}")),
+            TestRequest::lookup("a5").header("authorization", SHIP_KEY),
             "no-key",
         ),
-        (Ask::lookup("a7").key(&"x".repeat(8_000)), "unknown-key"),
-        (Ask::lookup("a8").key(&format!("{SHIP_KEY} ")), ""),
         (
-            Ask::lookup("a9").header("authorization", &format!("bEARER   {SHIP_KEY}")),
+            TestRequest::lookup("a6").header("authorization", &format!("Basic {SHIP_KEY}")),
+            "no-key",
+        ),
+        (
+            TestRequest::lookup("a7").key(&"x".repeat(8_000)),
+            "unknown-key",
+        ),
+        (TestRequest::lookup("a8").key(&format!("{SHIP_KEY} ")), ""),
+        (
+            TestRequest::lookup("a9").header("authorization", &format!("bEARER   {SHIP_KEY}")),
             "",
         ),
         (
-            Ask::turn("t1", "p1", "x").key(&SHIP_KEY[1..]),
+            TestRequest::turn("t1", "p1", "x").key(&SHIP_KEY[1..]),
             "unknown-key",
         ),
     ];
@@ -146,14 +154,14 @@
         assert_eq!(answer.header("www-authenticate"), Some("Bearer"));
     }
     for attempt in ["a1", "a2", "a3", "a4", "a5", "a6", "a7", "t1"] {
-        assert_eq!(site.times_run(attempt).await, 0, "{attempt}");
+        assert_eq!(site.run_count(attempt).await, 0, "{attempt}");
     }
 }
 
 #[actix_rt::test]
 async fn a_public_route_takes_callers_without_a_key() {
     let (site, gateway) = start().await;
-    let ask = Ask::new(Method::POST, "/unkept/stream/x")
+    let ask = TestRequest::new(Method::POST, "/unkept/stream/x")
         .attempt("a1")
         .header("tenant", "crew");
     assert_eq!(ask.send(gateway.front).await.status, 200);
@@ -168,7 +176,7 @@
 #[actix_rt::test]
 async fn where_no_customers_are_declared_no_key_is_wanted() {
     let (site, gateway) = Site::start_with_gateway().await;
-    let ask = Ask::lookup("a1").key("of-the-endpoint");
+    let ask = TestRequest::lookup("a1").key("of-the-endpoint");
     assert_eq!(ask.send(gateway.front).await.status, 200);
     let run = site.runs(DESK).await["a1"].clone();
     assert_eq!(run.headers["authorization"], "Bearer of-the-endpoint");
@@ -189,8 +197,11 @@
     assert_eq!(ask_with(&gateway, "a4", SHIP_KEY).await.status, 401);
 }
 
-async fn ask_with(gateway: &Gateway, attempt: &str, key: &str) -> Answer {
-    Ask::lookup(attempt).key(key).send(gateway.front).await
+async fn ask_with(gateway: &Gateway, attempt: &str, key: &str) -> TestResponse {
+    TestRequest::lookup(attempt)
+        .key(key)
+        .send(gateway.front)
+        .await
 }
 
 #[actix_rt::test]
@@ -205,7 +216,7 @@
         customer("cook", &["shared-key", "cook-key"]),
     ];
     declare(&site, &with_customers(1, &customers));
-    let gateway = site.ready_gateway().await;
+    let gateway = site.start_ready_gateway().await;
     assert_eq!(ask_with(&gateway, "a1", CREW_KEY).await.status, 200);
     assert_eq!(ask_with(&gateway, "a2", "cook-key").await.status, 200);
     for (attempt, key) in [("a3", SHIP_KEY), ("a4", "shared-key")] {
@@ -225,8 +236,8 @@
         silent: true,
         ..StoreFaults::default()
     };
-    site.faults(&silent).await;
-    until("the host doubts its routes", async || {
+    site.set_store_faults(&silent).await;
+    wait_until("the host doubts its routes", async || {
         ask_with(&gateway, "a2", "new-key").await.status == 503
     })
     .await;
@@ -239,23 +250,23 @@
     let site = Site::without_routes();
     declare(&site, &two_customers(1));
     let gateway = Gateway::start_with_customers(
-        site.door.address(),
+        site.store_listener.address(),
         "strict_keys = yes\nkeys_confirmed_within_ms = 2000\n",
     );
-    gateway.until_ready().await;
+    gateway.wait_until_ready().await;
     assert_eq!(ask_with(&gateway, "a1", SHIP_KEY).await.status, 200);
     let silent = StoreFaults {
         silent: true,
         ..StoreFaults::default()
     };
-    site.faults(&silent).await;
-    until("the host refuses keys", async || {
+    site.set_store_faults(&silent).await;
+    wait_until("the host refuses keys", async || {
         let answer = ask_with(&gateway, "a2", SHIP_KEY).await;
         answer.status == 503 && reason(&answer) == "keys-unconfirmed"
     })
     .await;
-    site.faults(&StoreFaults::default()).await;
-    until("the host takes keys again", async || {
+    site.set_store_faults(&StoreFaults::default()).await;
+    wait_until("the host takes keys again", async || {
         ask_with(&gateway, "a3", SHIP_KEY).await.status == 200
     })
     .await;
@@ -264,20 +275,24 @@
 #[actix_rt::test]
 async fn a_turn_of_another_customer_is_none() {
     let (site, gateway) = start().await;
-    let first = Ask::turn("t1", "p1", "first|").key(SHIP_KEY);
+    let first = TestRequest::turn("t1", "p1", "first|").key(SHIP_KEY);
     assert_eq!(first.send(gateway.front).await.status, 200);
-    let other = site.ready_gateway().await;
+    let other = site.start_ready_gateway().await;
     for (number, front) in [gateway.front, other.front].into_iter().enumerate() {
         let attempt = format!("u{number}");
-        let stolen = Ask::turn(&attempt, "p1", "x").previous("t1").key(CREW_KEY);
+        let stolen = TestRequest::turn(&attempt, "p1", "x")
+            .previous("t1")
+            .key(CREW_KEY);
         let stolen = stolen.send(front).await;
-        let never = Ask::turn(&attempt, "p1", "x").previous("t9").key(CREW_KEY);
+        let never = TestRequest::turn(&attempt, "p1", "x")
+            .previous("t9")
+            .key(CREW_KEY);
         let never = never.send(front).await;
         assert_eq!((stolen.status, never.status), (404, 404));
         assert_eq!(stolen.body, never.body);
-        assert_eq!(site.times_run(&attempt).await, 0);
+        assert_eq!(site.run_count(&attempt).await, 0);
     }
-    let next = Ask::turn("t2", "p1", "second|")
+    let next = TestRequest::turn("t2", "p1", "second|")
         .previous("t1")
         .key(SHIP_KEY);
     assert_eq!(next.send(other.front).await.status, 200);
@@ -287,18 +302,20 @@
 async fn programs_and_attempts_of_two_customers_may_have_the_same_ids() {
     let (site, gateway) = start().await;
     for (key, input) in [(SHIP_KEY, "ship|"), (CREW_KEY, "crew|")] {
-        let turn = Ask::turn("t1", "p1", input).key(key);
+        let turn = TestRequest::turn("t1", "p1", input).key(key);
         let turn = turn.header("token-budget", "100");
         // Each has a budget of its own, which holds one turn.
         assert_eq!(turn.send(gateway.front).await.status, 200);
     }
-    let other = site.ready_gateway().await;
+    let other = site.start_ready_gateway().await;
     for (number, (key, input)) in [(SHIP_KEY, "ship|"), (CREW_KEY, "crew|")]
         .iter()
         .enumerate()
     {
         let attempt = format!("n{number}");
-        let turn = Ask::turn(&attempt, "p1", "next").previous("t1").key(key);
+        let turn = TestRequest::turn(&attempt, "p1", "next")
+            .previous("t1")
+            .key(key);
         assert_eq!(turn.send(other.front).await.status, 200);
         let body = site.runs(MODELS).await[&attempt].body.clone();
         assert!(body.starts_with(input), "{body}");
@@ -308,12 +325,14 @@
 #[actix_rt::test]
 async fn turns_of_a_time_without_customers_are_no_customers() {
     let site = Site::start();
-    let gateway = site.ready_gateway().await;
-    let first = Ask::turn("t1", "p1", "first|");
+    let gateway = site.start_ready_gateway().await;
+    let first = TestRequest::turn("t1", "p1", "first|");
     assert_eq!(first.send(gateway.front).await.status, 200);
     declare(&site, &two_customers(2));
     until_version(&gateway, 2).await;
-    let next = Ask::turn("t2", "p1", "x").previous("t1").key(SHIP_KEY);
+    let next = TestRequest::turn("t2", "p1", "x")
+        .previous("t1")
+        .key(SHIP_KEY);
     assert_eq!(next.send(gateway.front).await.status, 404);
 }
 
@@ -331,7 +350,10 @@
     for (number, key) in [SHIP_KEY, CREW_KEY, "a-strangers-key"].iter().enumerate() {
         told += &ask_with(&gateway, &format!("a{number}"), key).await.body;
     }
-    told += &Ask::get("/metrics").send(gateway.metrics).await.body;
+    told += &TestRequest::get("/metrics")
+        .send(gateway.metrics)
+        .await
+        .body;
     told += &gateway.log().concat();
     for key in [SHIP_KEY, CREW_KEY, "a-strangers-key"] {
         assert!(!told.contains(key));
--- a/gateway/tests/entries.rs
+++ b/gateway/tests/entries.rs
@@ -6,7 +6,7 @@
 use std::net::UdpSocket;
 
 use serde_json::{Value, json};
-use support::{Ask, Gateway, Site, until};
+use support::{Gateway, Site, TestRequest, wait_until};
 
 const DESK: usize = 1;
 
@@ -50,7 +50,7 @@
 }
 
 async fn until_listed(gateway: &Gateway, instance: &str) {
-    until("the endpoint is listed", async || {
+    wait_until("the endpoint is listed", async || {
         endpoints(gateway, "endpoint-listed").contains(&instance.to_owned())
     })
     .await;
@@ -59,7 +59,7 @@
 /// Asks some times, each of which must be served.
 async fn serves(gateway: &Gateway, name: &str) {
     for number in 0..12 {
-        let ask = Ask::get("/lookup/x").attempt(&format!("{name}{number}"));
+        let ask = TestRequest::get("/lookup/x").attempt(&format!("{name}{number}"));
         assert_eq!(ask.send(gateway.front).await.status, 200, "{name}{number}");
     }
 }
@@ -67,18 +67,18 @@
 #[actix_rt::test]
 async fn entries_that_name_no_endpoint_leave_the_others_as_they_are() {
     let mut site = Site::start();
-    let early = site.gateway();
-    early.until_ready().await;
+    let early = site.start_gateway();
+    early.wait_until_ready().await;
     let mut ids = foreign_entries(&site);
     ids.sort();
     // One host reads them all at once, the other as they come.
-    let late = site.gateway();
-    late.until_ready().await;
+    let late = site.start_gateway();
+    late.wait_until_ready().await;
     let more = site.add_endpoint("desk");
     let instance = site.endpoints[more].instance.clone();
     for gateway in [&early, &late] {
         until_listed(gateway, &instance).await;
-        until("all are refused", async || {
+        wait_until("all are refused", async || {
             endpoints(gateway, "entry-refused") == ids
         })
         .await;
@@ -96,12 +96,15 @@
         site.store.delete("servers", id);
     }
     for gateway in [&early, &late] {
-        until("all are gone", async || {
+        wait_until("all are gone", async || {
             endpoints(gateway, "entry-refusal-ended") == ids
         })
         .await;
         serves(gateway, "b").await;
-        let page = Ask::get("/metrics").send(gateway.metrics).await.body;
+        let page = TestRequest::get("/metrics")
+            .send(gateway.metrics)
+            .await
+            .body;
         assert!(
             page.contains("refused_entries_total{reason=\"range\"} 4"),
             "{page}"
@@ -118,24 +121,24 @@
 async fn an_endpoint_whose_entry_turns_bad_gets_nothing_until_it_is_good_again() {
     let mut site = Site::start();
     let other = site.add_endpoint("desk");
-    let gateway = site.gateway();
-    gateway.until_ready().await;
+    let gateway = site.start_gateway();
+    gateway.wait_until_ready().await;
     let instance = site.endpoints[DESK].instance.clone();
     site.store.put_bytes("servers", &instance, b"{");
-    until("the entry is refused", async || {
+    wait_until("the entry is refused", async || {
         endpoints(&gateway, "entry-refused") == [instance.clone()]
     })
     .await;
     serves(&gateway, "a").await;
     assert_eq!(site.runs(other).await.len(), 12);
     site.announce(DESK, "ready");
-    until("the entry is good again", async || {
+    wait_until("the entry is good again", async || {
         endpoints(&gateway, "entry-refusal-ended") == [instance.clone()]
     })
     .await;
     site.store
         .delete("servers", &site.endpoints[other].instance);
-    until("the other is gone", async || {
+    wait_until("the other is gone", async || {
         !gateway.events("endpoint-withdrawn").is_empty()
     })
     .await;
@@ -146,8 +149,8 @@
 #[actix_rt::test]
 async fn datagrams_of_any_content_stop_nothing() {
     let site = Site::start();
-    let gateway = site.gateway();
-    gateway.until_ready().await;
+    let gateway = site.start_gateway();
+    gateway.wait_until_ready().await;
     let listening = gateway.events("listening");
     let peers = listening.iter().find(|event| event["reason"] == "peers");
     let address = peers.unwrap()["address"].as_str().unwrap().to_owned();
--- a/gateway/tests/explain.rs
+++ b/gateway/tests/explain.rs
@@ -7,7 +7,7 @@
 use rosebend::explain::Story;
 use rosebend_standin::backend::BackendFaults;
 use rosebend_standin::store::StoreFaults;
-use support::{Ask, Gateway, Site, until};
+use support::{Gateway, Site, TestRequest, wait_until};
 
 const MODELS: usize = 0;
 const DESK: usize = 1;
@@ -26,7 +26,7 @@
 /// The story of an attempt without what differs from run to run: times, and
 /// the number in a host's name.
 async fn story(gateway: &Gateway, attempt: &str) -> String {
-    until("the request's end is in the log", async || {
+    wait_until("the request's end is in the log", async || {
         let log = gateway.log();
         let lines = log.iter().map(String::as_str);
         Story::tell(attempt, lines).text().contains("request-ended")
@@ -73,9 +73,9 @@
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let other_door = site.store.open_door(listener).unwrap();
     // It knows no peer that would pass its calls on.
-    let turned_away = site.ready_gateway().await;
-    site.faults(&StoreFaults::refusing()).await;
-    until("the host says that it is not ready", async || {
+    let turned_away = site.start_ready_gateway().await;
+    site.set_store_faults(&StoreFaults::refusing()).await;
+    wait_until("the host says that it is not ready", async || {
         let changes = turned_away.events("ready-changed");
         changes
             .iter()
@@ -83,8 +83,10 @@
     })
     .await;
     let served = Gateway::start(other_door.address());
-    served.until_ready().await;
-    let answer = Ask::turn("t1", "p1", "x").send(turned_away.front).await;
+    served.wait_until_ready().await;
+    let answer = TestRequest::turn("t1", "p1", "x")
+        .send(turned_away.front)
+        .await;
     assert_eq!(answer.status, 503);
     insta::assert_snapshot!(story(&turned_away, "t1").await);
 }
@@ -96,8 +98,8 @@
         lose_answers: 1,
         ..BackendFaults::default()
     };
-    site.endpoint_faults(DESK, &faults).await;
-    let ask = Ask::new(http::Method::POST, "/fee/receipt").attempt("a1");
+    site.set_endpoint_faults(DESK, &faults).await;
+    let ask = TestRequest::new(http::Method::POST, "/fee/receipt").attempt("a1");
     assert_eq!(ask.body("fee 12").send(gateway.front).await.status, 502);
     // That the endpoint is avoided falls between two steps or beside them, in
     // the same millisecond or the next.
@@ -116,8 +118,8 @@
         events: 1,
         ..BackendFaults::default()
     };
-    site.endpoint_faults(MODELS, &slow).await;
-    let answer = Ask::turn("t1", "p1", "x").send(gateway.front).await;
+    site.set_endpoint_faults(MODELS, &slow).await;
+    let answer = TestRequest::turn("t1", "p1", "x").send(gateway.front).await;
     assert_eq!(answer.status, 200);
     insta::assert_snapshot!(story(&gateway, "t1").await);
 }
@@ -125,8 +127,8 @@
 #[actix_rt::test]
 async fn a_host_that_was_killed_leaves_no_end_and_the_story_says_so() {
     let site = Site::start();
-    let mut gateway = site.ready_gateway().await;
-    Ask::turn("t1", "p1", "x").send(gateway.front).await;
+    let mut gateway = site.start_ready_gateway().await;
+    TestRequest::turn("t1", "p1", "x").send(gateway.front).await;
     gateway.kill();
     actix_rt::time::sleep(Duration::from_millis(50)).await;
     let step = r#"{"at_ms":9,"host":"gateway-9","event":803,"name":"request-arrived","level":"info","attempt":"t2","version":1}"#;
@@ -148,22 +150,22 @@
             lose_answers: 1,
             ..StoreFaults::default()
         };
-        site.faults(&lost).await;
-        let turn = Ask::turn(&format!("t{number}"), &format!("p{number}"), "x");
+        site.set_store_faults(&lost).await;
+        let turn = TestRequest::turn(&format!("t{number}"), &format!("p{number}"), "x");
         let answer = turn.send(gateway.front).await;
-        assert_eq!((answer.status, answer.is_whole), (200, true));
+        assert_eq!((answer.status, answer.is_complete), (200, true));
     }
     assert_eq!(site.store.stats().lost_answers, 8);
     assert!(gateway.events("store-lost").is_empty());
 
-    site.faults(&StoreFaults::refusing()).await;
-    gateway.until_unready().await;
-    until("the loss is told", async || {
+    site.set_store_faults(&StoreFaults::refusing()).await;
+    gateway.wait_until_not_ready().await;
+    wait_until("the loss is told", async || {
         gateway.events("store-lost").len() == 1
     })
     .await;
-    site.faults(&StoreFaults::default()).await;
-    until("the return is told", async || {
+    site.set_store_faults(&StoreFaults::default()).await;
+    wait_until("the return is told", async || {
         gateway.events("store-regained").len() == 1
     })
     .await;
@@ -172,12 +174,15 @@
 #[actix_rt::test]
 async fn a_turn_refused_for_the_budget_of_its_program() {
     let (_site, gateway) = Site::start_with_gateway().await;
-    let turn = |attempt: &str| Ask::turn(attempt, "p1", "x").header("token-budget", "120");
+    let turn = |attempt: &str| TestRequest::turn(attempt, "p1", "x").header("token-budget", "120");
     assert_eq!(turn("t1").send(gateway.front).await.status, 200);
     let refused = turn("t2").previous("t1").send(gateway.front).await;
     assert_eq!(refused.status, 402);
     insta::assert_snapshot!(story(&gateway, "t2").await);
-    let page = Ask::get("/metrics").send(gateway.metrics).await.body;
+    let page = TestRequest::get("/metrics")
+        .send(gateway.metrics)
+        .await
+        .body;
     let counted = "rosebend_gateway_budget_refusals_total{filled_by=\"spent\"} 1";
     assert!(page.contains(counted), "{page}");
 }
@@ -185,16 +190,16 @@
 #[actix_rt::test]
 async fn a_turn_refused_while_a_turn_at_another_host_may_spend_the_rest() {
     let site = Site::start();
-    let gateways = site.two_ready_gateways().await;
+    let gateways = site.start_two_ready_gateways().await;
     let paced = BackendFaults {
         delay_ms: 400,
         ..BackendFaults::default()
     };
-    site.endpoint_faults(MODELS, &paced).await;
-    let turn = |attempt: &str| Ask::turn(attempt, "p1", "x").header("token-budget", "150");
+    site.set_endpoint_faults(MODELS, &paced).await;
+    let turn = |attempt: &str| TestRequest::turn(attempt, "p1", "x").header("token-budget", "150");
     let (running, other) = (turn("t1"), turn("t2"));
     let refusing = async {
-        until("the first turn has its tokens", async || {
+        wait_until("the first turn has its tokens", async || {
             site.rows("programs") > 0
         })
         .await;
@@ -216,15 +221,15 @@
     declared
 }
 
-fn keyed(attempt: &str) -> Ask {
-    Ask::lookup(attempt).header("authorization", &format!("Bearer {KEY}"))
+fn keyed(attempt: &str) -> TestRequest {
+    TestRequest::lookup(attempt).header("authorization", &format!("Bearer {KEY}"))
 }
 
 #[actix_rt::test]
 async fn a_request_refused_for_its_customers_limit() {
     let site = Site::without_routes();
     site.store.put("op", "config", &with_customer(1, &[KEY]));
-    let gateway = site.ready_gateway().await;
+    let gateway = site.start_ready_gateway().await;
     let mut number = 0;
     loop {
         number += 1;
@@ -247,9 +252,9 @@
 async fn a_request_whose_key_was_taken_away() {
     let site = Site::without_routes();
     site.store.put("op", "config", &with_customer(1, &[KEY]));
-    let gateway = site.ready_gateway().await;
+    let gateway = site.start_ready_gateway().await;
     site.store.put("op", "config", &with_customer(2, &[]));
-    until("the key is gone", async || {
+    wait_until("the key is gone", async || {
         gateway.metric("routes_version").await == 2
     })
     .await;
--- a/gateway/tests/following.rs
+++ b/gateway/tests/following.rs
@@ -13,20 +13,20 @@
 use rosebend_gateway::peers;
 use rosebend_protocol::follow::{FollowRequest, decode_answer, encode_request};
 use rosebend_standin::store::StoreFaults;
-use support::{Ask, Gateway, Site, until};
+use support::{Gateway, Site, TestRequest, wait_until};
 
 const HOSTS: usize = 5;
 const READERS: usize = 2;
 
 async fn fleet(site: &Site) -> Vec<Gateway> {
-    let gateways: Vec<Gateway> = (0..HOSTS).map(|_| site.gateway()).collect();
+    let gateways: Vec<Gateway> = (0..HOSTS).map(|_| site.start_gateway()).collect();
     for gateway in &gateways {
-        gateway.until_ready().await;
+        gateway.wait_until_ready().await;
     }
     for gateway in &gateways {
-        gateway.until_peers(HOSTS - 1).await;
+        gateway.wait_for_peers(HOSTS - 1).await;
     }
-    until("two hosts read the store", async || {
+    wait_until("two hosts read the store", async || {
         followers(&gateways).await.len() == HOSTS - READERS
     })
     .await;
@@ -52,7 +52,7 @@
 }
 
 async fn until_in_force(gateway: &Gateway, version: u64) {
-    until("the version is in force", async || {
+    wait_until("the version is in force", async || {
         gateway.metric("routes_version").await == version
     })
     .await;
@@ -73,11 +73,11 @@
     for index in &followers {
         calls.push(feed_calls(&gateways[*index]).await);
     }
-    site.declare(7);
+    site.declare_routes(7);
     site.announce(0, "draining");
     for gateway in &gateways {
         until_in_force(gateway, 7).await;
-        until("the endpoint drains", async || {
+        wait_until("the endpoint drains", async || {
             let events = gateway.events("endpoint-withdrawn");
             events.iter().any(|event| event["reason"] == "draining")
         })
@@ -107,7 +107,7 @@
     for index in &readers {
         gateways[*index].kill();
     }
-    site.declare(8);
+    site.declare_routes(8);
     for (index, gateway) in gateways.iter().enumerate() {
         if !readers.contains(&index) {
             until_in_force(gateway, 8).await;
@@ -123,14 +123,14 @@
     for index in &readers {
         gateways[*index].signal("STOP");
     }
-    site.declare(9);
+    site.declare_routes(9);
     for (index, gateway) in gateways.iter().enumerate() {
         if !readers.contains(&index) {
             until_in_force(gateway, 9).await;
         }
     }
     // They know nothing newer than others when they go on.
-    site.declare(10);
+    site.declare_routes(10);
     for index in &readers {
         gateways[*index].signal("CONT");
     }
@@ -143,17 +143,19 @@
 async fn followers_are_not_ready_in_an_outage_and_come_back() {
     let site = Site::start();
     let gateways = fleet(&site).await;
-    site.faults(&StoreFaults::refusing()).await;
+    site.set_store_faults(&StoreFaults::refusing()).await;
     for gateway in &gateways {
-        gateway.until_unready().await;
+        gateway.wait_until_not_ready().await;
     }
-    site.faults(&StoreFaults::default()).await;
-    site.declare(11);
+    site.set_store_faults(&StoreFaults::default()).await;
+    site.declare_routes(11);
     for gateway in &gateways {
-        gateway.until_ready().await;
+        gateway.wait_until_ready().await;
         until_in_force(gateway, 11).await;
     }
-    let answer = Ask::turn("t1", "p1", "x").send(gateways[0].front).await;
+    let answer = TestRequest::turn("t1", "p1", "x")
+        .send(gateways[0].front)
+        .await;
     assert_eq!(answer.status, 200);
 }
 
@@ -178,10 +180,10 @@
     let site = Site::start();
     let address = "127.0.0.1:9".parse().unwrap();
     for number in 0..100 {
-        site.announce_at(&format!("i-more-{number}"), "desk", address);
+        site.announce_external(&format!("i-more-{number}"), "desk", address);
     }
-    let gateway = site.ready_gateway().await;
-    until("all endpoints are told", async || {
+    let gateway = site.start_ready_gateway().await;
+    wait_until("all endpoints are told", async || {
         let lines = gateway.events("endpoint-listed");
         let told = lines.iter().map(|line| line["count"].as_u64().unwrap_or(1));
         told.sum::<u64>() == 102
@@ -222,7 +224,7 @@
         "{refused:?}"
     );
     // Lines of the log come after the answers.
-    until("both refusals are told", async || {
+    wait_until("both refusals are told", async || {
         gateway.events("peer-refused").len() == 2
     })
     .await;
--- a/gateway/tests/foreign.rs
+++ b/gateway/tests/foreign.rs
@@ -11,7 +11,7 @@
 use rosebend_transport::clock::Clock;
 use rosebend_transport::store::StoreClient;
 use serde_json::json;
-use support::{Ask, Gateway, Site, until};
+use support::{Gateway, Site, TestRequest, wait_until};
 
 /// Longest wait for an answer of the store.
 const PATIENCE: Duration = Duration::from_secs(5);
@@ -21,7 +21,7 @@
 const FOREIGN_PEERS: usize = 96;
 
 async fn status(gateway: &Gateway, path: &str, attempt: &str) -> u16 {
-    let ask = Ask::get(path).attempt(attempt);
+    let ask = TestRequest::get(path).attempt(attempt);
     ask.send(gateway.front).await.status
 }
 
@@ -36,20 +36,25 @@
     wider["prefix"] = json!("/");
     next["routes"].as_array_mut().unwrap().push(wider);
     site.store.put("op", "config", &next);
-    until("the new version serves", async || {
+    wait_until("the new version serves", async || {
         status(&gateway, "/else/x", "a0").await == 200
     })
     .await;
     assert_eq!(status(&gateway, "/lookup/x", "a1").await, 200);
     // The wider route would serve it, more often than it may run.
-    let answer = Ask::get("/fee/x").attempt("a2").send(gateway.front).await;
+    let answer = TestRequest::get("/fee/x")
+        .attempt("a2")
+        .send(gateway.front)
+        .await;
     assert_eq!(answer.status, 503);
     assert!(answer.retry_after_s().unwrap() > 0.0);
     assert!(answer.body.contains("route-unusable"), "{}", answer.body);
-    let turn = Ask::turn("a3", "p1", "hello").send(gateway.front).await;
+    let turn = TestRequest::turn("a3", "p1", "hello")
+        .send(gateway.front)
+        .await;
     assert_eq!(turn.status, 503);
     assert!(!site.runs(DESK).await.contains_key("a2"));
-    until("both routes are told", async || {
+    wait_until("both routes are told", async || {
         gateway.events("route-unusable").len() == 2
     })
     .await;
@@ -68,7 +73,7 @@
     let mut next = support::routes(7);
     next["limits"]["idle-timeout-ms"] = json!(u64::MAX);
     site.store.put("op", "config", &next);
-    until("the version is refused", async || {
+    wait_until("the version is refused", async || {
         !gateway.events("routes-unreadable").is_empty()
     })
     .await;
@@ -93,13 +98,13 @@
         ("attempt-id", &long),
     ];
     for (name, value) in table {
-        let ask = Ask::turn("a1", "p1", "hello").header(name, value);
+        let ask = TestRequest::turn("a1", "p1", "hello").header(name, value);
         let answer = ask.send(gateway.front).await;
         assert_eq!(answer.status, 400, "{name}: {value}");
         let told = answer.body.to_ascii_lowercase();
         assert!(told.contains(name), "{name}: {value}: {told}");
     }
-    until("all refusals are told", async || {
+    wait_until("all refusals are told", async || {
         gateway.events("request-ended").len() == table.len()
     })
     .await;
@@ -110,7 +115,9 @@
             .all(|event| event["reason"] == "header-unusable")
     );
     assert!(site.runs(MODELS).await.is_empty());
-    let answer = Ask::turn("a2", "p1", "hello").send(gateway.front).await;
+    let answer = TestRequest::turn("a2", "p1", "hello")
+        .send(gateway.front)
+        .await;
     assert_eq!(answer.status, 200);
 }
 
@@ -138,21 +145,21 @@
 async fn rows_that_name_no_peer_take_the_place_of_none() {
     let site = Site::start();
     write_foreign_peers(&site);
-    let open_door = site.open_door();
+    let open_door = site.open_store_listener();
     let peer = Gateway::start(open_door.address());
-    peer.until_ready().await;
-    until("the peer has written its row", async || {
+    peer.wait_until_ready().await;
+    wait_until("the peer has written its row", async || {
         site.rows("gateways") == FOREIGN_PEERS + 1
     })
     .await;
-    let gateway = site.ready_gateway().await;
-    until("the rows are told", async || {
+    let gateway = site.start_ready_gateway().await;
+    wait_until("the rows are told", async || {
         !gateway.events("peer-row-unusable").is_empty()
     })
     .await;
-    gateway.until_peers(1).await;
-    site.faults(&StoreFaults::refusing()).await;
-    until("calls go by the peer", async || {
+    gateway.wait_for_peers(1).await;
+    site.set_store_faults(&StoreFaults::refusing()).await;
+    wait_until("calls go by the peer", async || {
         !gateway.events("store-relayed").is_empty()
     })
     .await;
@@ -169,7 +176,7 @@
 #[actix_rt::test]
 async fn a_turn_whose_index_row_cannot_be_read_is_not_denied() {
     let (site, gateway) = Site::start_with_gateway().await;
-    let store = StoreClient::new(site.door.address(), PATIENCE, Clock::start());
+    let store = StoreClient::new(site.store_listener.address(), PATIENCE, Clock::start());
     let partition = partitions().next().unwrap();
     let foreign = Transaction {
         writes: vec![RowWrite {
@@ -179,8 +186,8 @@
         ..Transaction::default()
     };
     store.transact(&foreign).await.unwrap();
-    let answer = Ask::turn("t2", "p1", "x").previous("t1");
+    let answer = TestRequest::turn("t2", "p1", "x").previous("t1");
     assert_eq!(answer.send(gateway.front).await.status, 503);
-    let never = Ask::turn("t3", "p1", "x").previous("never");
+    let never = TestRequest::turn("t3", "p1", "x").previous("never");
     assert_eq!(never.send(gateway.front).await.status, 404);
 }
--- a/gateway/tests/joined_commits.rs
+++ b/gateway/tests/joined_commits.rs
@@ -10,7 +10,7 @@
 use rosebend_standin::server::RunningServer;
 use rosebend_standin::store::StoreFaults;
 use rosebend_state::deployment::{RowId, Transaction};
-use support::{Ask, Gateway, Site, until};
+use support::{Gateway, Site, TestRequest, wait_until};
 
 const BY_GATHERER: &str = "commits_total{way=\"gatherer\"}";
 
@@ -20,18 +20,18 @@
     let site = Site::start();
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let door = site.store.open_door(listener).unwrap();
-    let gatherer = Gateway::start_strong(door.address());
-    let other = site.gateway();
+    let gatherer = Gateway::start_batcher(door.address());
+    let other = site.start_gateway();
     for gateway in [&gatherer, &other] {
-        gateway.until_ready().await;
-        gateway.until_peers(1).await;
+        gateway.wait_until_ready().await;
+        gateway.wait_for_peers(1).await;
     }
     (site, door, gatherer, other)
 }
 
 /// A turn that continues from the one before it.
-fn turn(number: usize) -> Ask {
-    let ask = Ask::turn(&format!("t{number}"), "p1", "x|");
+fn turn(number: usize) -> TestRequest {
+    let ask = TestRequest::turn(&format!("t{number}"), "p1", "x|");
     match number {
         0 => ask,
         _ => ask.previous(&format!("t{}", number - 1)),
@@ -41,7 +41,7 @@
 async fn is_served(gateway: &Gateway, number: usize) {
     let answer = turn(number).send(gateway.front).await;
     assert_eq!(
-        (answer.status, answer.is_whole),
+        (answer.status, answer.is_complete),
         (200, true),
         "turn {number}: {}",
         answer.body
@@ -88,7 +88,7 @@
     assert_eq!(avoided[0]["reason"], "silent", "{avoided:?}");
     // What it had taken in before it stood still comes late and changes nothing.
     gatherer.signal("CONT");
-    gatherer.until_ready().await;
+    gatherer.wait_until_ready().await;
     is_served(&gatherer, 4).await;
     is_served(&other, 5).await;
 }
@@ -102,7 +102,7 @@
     for faults in [silent, StoreFaults::refusing()] {
         let (_site, door, _gatherer, other) = start().await;
         is_served(&other, 0).await;
-        support::set_faults(&door, &faults).await;
+        support::set_listener_faults(&door, &faults).await;
         for number in 1..4 {
             is_served(&other, number).await;
         }
@@ -116,7 +116,7 @@
         lose_answers: 3,
         ..StoreFaults::default()
     };
-    support::set_faults(&door, &lost).await;
+    support::set_listener_faults(&door, &lost).await;
     for number in 0..3 {
         is_served(&other, number).await;
     }
@@ -132,8 +132,8 @@
     let address = gatherer.relay;
     gatherer.kill();
     let elsewhere = Site::start();
-    let stranger = Gateway::start_at(elsewhere.door.address(), address);
-    stranger.until_ready().await;
+    let stranger = Gateway::start_at(elsewhere.store_listener.address(), address);
+    stranger.wait_until_ready().await;
     is_served(&other, 1).await;
     // Nothing of it is kept in memory by a host that has just started.
     assert_eq!(elsewhere.rows("programs"), 0);
@@ -148,7 +148,7 @@
     let elsewhere = String::from_utf8(elsewhere).unwrap();
     let messages = ["", "nonsense", "\u{8}\u{2}", &elsewhere];
     for message in messages {
-        let ask = Ask::new(Method::POST, "/peer/commit").body(message);
+        let ask = TestRequest::new(Method::POST, "/peer/commit").body(message);
         assert_eq!(ask.send(gatherer.relay).await.status, 400, "{message:?}");
     }
     let refused = gatherer.metric("refused_commits_total").await;
@@ -160,20 +160,20 @@
 #[actix_rt::test]
 async fn a_host_that_comes_back_commits_for_others_again() {
     let site = Site::start();
-    let host = Gateway::new_host();
-    let mut gatherer = Gateway::start_strong_on(&host, site.door.address());
-    let other = site.gateway();
+    let host = Gateway::new_host_name();
+    let mut gatherer = Gateway::start_batcher_on(&host, site.store_listener.address());
+    let other = site.start_gateway();
     for gateway in [&gatherer, &other] {
-        gateway.until_ready().await;
-        gateway.until_peers(1).await;
+        gateway.wait_until_ready().await;
+        gateway.wait_for_peers(1).await;
     }
     is_served(&other, 0).await;
     gatherer.kill();
     is_served(&other, 1).await;
-    let gatherer = Gateway::start_strong_on(&host, site.door.address());
-    gatherer.until_ready().await;
+    let gatherer = Gateway::start_batcher_on(&host, site.store_listener.address());
+    gatherer.wait_until_ready().await;
     let number = std::cell::Cell::new(2);
-    until("it commits for the other one", async || {
+    wait_until("it commits for the other one", async || {
         is_served(&other, number.replace(number.get() + 1)).await;
         gatherer.metric("joined_parts_total").await > 0
     })
--- a/gateway/tests/limits.rs
+++ b/gateway/tests/limits.rs
@@ -8,7 +8,7 @@
 use futures_util::future::join_all;
 use http::Method;
 use serde_json::{Value, json};
-use support::{Answer, Ask, Gateway, Site, routes, until};
+use support::{Gateway, Site, TestRequest, TestResponse, routes, wait_until};
 
 const DESK: usize = 1;
 const KEY: &str = "ship-key-000001";
@@ -29,20 +29,20 @@
 async fn site_with(count: usize) -> (Site, Vec<Gateway>) {
     let site = Site::without_routes();
     site.store.put("op", "config", &declared(1, RATE_PER_S));
-    let gateways: Vec<Gateway> = (0..count).map(|_| site.gateway()).collect();
+    let gateways: Vec<Gateway> = (0..count).map(|_| site.start_gateway()).collect();
     for gateway in &gateways {
-        gateway.until_ready().await;
-        gateway.until_peers(count - 1).await;
+        gateway.wait_until_ready().await;
+        gateway.wait_for_peers(count - 1).await;
     }
     (site, gateways)
 }
 
-fn lookup(attempt: &str, key: &str) -> Ask {
-    Ask::lookup(attempt).header("authorization", &format!("Bearer {key}"))
+fn lookup(attempt: &str, key: &str) -> TestRequest {
+    TestRequest::lookup(attempt).header("authorization", &format!("Bearer {key}"))
 }
 
 /// Sends requests to all hosts in turn, all at once.
-async fn send_all(gateways: &[Gateway], name: &str, count: usize, key: &str) -> Vec<Answer> {
+async fn send_all(gateways: &[Gateway], name: &str, count: usize, key: &str) -> Vec<TestResponse> {
     let asks = (0..count).map(|number| {
         let front = gateways[number % gateways.len()].front;
         async move {
@@ -53,7 +53,7 @@
     join_all(asks).await
 }
 
-fn served(answers: &[Answer]) -> usize {
+fn served(answers: &[TestResponse]) -> usize {
     answers.iter().filter(|answer| answer.status == 200).count()
 }
 
@@ -66,7 +66,7 @@
 
 /// Waits until the hosts hand out the whole limit: they begin with little.
 async fn until_full(gateways: &[Gateway]) {
-    until("hosts know their allocators", async || {
+    wait_until("hosts know their allocators", async || {
         let answers = send_all(gateways, "w", 1, KEY).await;
         served(&answers) == 1
     })
@@ -123,7 +123,7 @@
     for gateway in &mut gateways {
         gateway.kill();
     }
-    let gateways = site.two_ready_gateways().await;
+    let gateways = site.start_two_ready_gateways().await;
     for round in 0..6 {
         all += served(&send_all(&gateways, &format!("b{round}-"), 20, KEY).await);
         actix_rt::time::sleep(Duration::from_millis(100)).await;
@@ -137,7 +137,7 @@
     until_full(&gateways).await;
     site.store.put("op", "config", &declared(2, 1));
     for gateway in &gateways {
-        until("the routes are in force", async || {
+        wait_until("the routes are in force", async || {
             gateway.metric("routes_version").await == 2
         })
         .await;
@@ -159,11 +159,11 @@
         refuse: 1_000,
         ..Default::default()
     };
-    site.endpoint_faults(DESK, &faults).await;
+    site.set_endpoint_faults(DESK, &faults).await;
     let answers = send_all(&gateways, "n", 60, KEY).await;
     assert_eq!(served(&answers), 0);
-    site.endpoint_faults(DESK, &Default::default()).await;
-    until("what was given back may be served", async || {
+    site.set_endpoint_faults(DESK, &Default::default()).await;
+    wait_until("what was given back may be served", async || {
         served(&send_all(&gateways, "y", 8, KEY).await) == 8
     })
     .await;
@@ -175,7 +175,7 @@
     until_full(&gateways).await;
     let mut last = gateways.pop().unwrap();
     last.kill();
-    until("the limit is handed out again", async || {
+    wait_until("the limit is handed out again", async || {
         served(&send_all(&gateways, "g", 4, KEY).await) == 4
     })
     .await;
@@ -214,7 +214,7 @@
     let (_site, gateways) = site_with(1).await;
     until_full(&gateways).await;
     let turn = |attempt: &str, program: &str| {
-        Ask::turn(attempt, program, "x").header("authorization", &format!("Bearer {KEY}"))
+        TestRequest::turn(attempt, program, "x").header("authorization", &format!("Bearer {KEY}"))
     };
     let front = gateways[0].front;
     assert_eq!(turn("t0", "p0").send(front).await.status, 200);
@@ -226,7 +226,7 @@
     assert!(begun.contains(&429), "{begun:?}");
     let next = turn("t1", "p0").previous("t0").send(front).await;
     assert_eq!(next.status, 200);
-    let call = Ask::new(Method::POST, "/fee/x")
+    let call = TestRequest::new(Method::POST, "/fee/x")
         .attempt("c1")
         .header("program-id", "p0")
         .header("authorization", &format!("Bearer {KEY}"));
--- a/gateway/tests/outage.rs
+++ b/gateway/tests/outage.rs
@@ -6,7 +6,7 @@
 use std::cell::Cell;
 
 use rosebend_standin::store::StoreFaults;
-use support::{Ask, Gateway, Site, until};
+use support::{Gateway, Site, TestRequest, wait_until};
 
 /// Escrow slots of all partitions.
 const ALL_SLOTS: u64 = 32;
@@ -18,16 +18,16 @@
 const WHOLE_BUDGET_TURNS: u64 = (1_000 - MOST_TOKENS) / TURN_TOKENS + 1;
 
 /// A turn on a route that keeps no history.
-fn turn(attempt: &str, program: &str, budget_tokens: u64) -> Ask {
-    Ask::turn(attempt, program, "x")
+fn turn(attempt: &str, program: &str, budget_tokens: u64) -> TestRequest {
+    TestRequest::turn(attempt, program, "x")
         .header("token-budget", &budget_tokens.to_string())
-        .at("/unkept/stream/turn")
+        .at_path("/unkept/stream/turn")
 }
 
 /// Two gateways that own all slots between them.
 async fn two_owners(site: &Site) -> [Gateway; 2] {
-    let gateways = site.two_ready_gateways().await;
-    until("all slots have an owner", async || {
+    let gateways = site.start_two_ready_gateways().await;
+    wait_until("all slots have an owner", async || {
         let [first, second] = &gateways;
         first.metric("escrow_slots").await + second.metric("escrow_slots").await == ALL_SLOTS
     })
@@ -39,21 +39,21 @@
 }
 
 async fn begin_outage(site: &Site, gateways: &[Gateway]) {
-    site.faults(&StoreFaults::refusing()).await;
+    site.set_store_faults(&StoreFaults::refusing()).await;
     for gateway in gateways {
-        until("the outage is noticed", async || {
+        wait_until("the outage is noticed", async || {
             !gateway.events("store-lost").is_empty()
         })
         .await;
-        gateway.until_unready().await;
+        gateway.wait_until_not_ready().await;
     }
 }
 
 async fn end_outage(site: &Site, gateways: &[Gateway]) {
-    site.faults(&StoreFaults::default()).await;
+    site.set_store_faults(&StoreFaults::default()).await;
     for gateway in gateways {
-        gateway.until_ready().await;
-        until("all grants are in the ledgers", async || {
+        gateway.wait_until_ready().await;
+        wait_until("all grants are in the ledgers", async || {
             gateway.metric("open_changes").await == 0
                 && gateway.metric("escrow_outstanding_tokens").await == 0
         })
@@ -71,7 +71,7 @@
         if answer.status != 200 {
             return (number as u64, answer.status);
         }
-        assert!(answer.is_whole);
+        assert!(answer.is_complete);
     }
     unreachable!("every budget ends")
 }
@@ -85,7 +85,9 @@
     // Two slots grant a quarter of the budget each, and a turn begins only where a
     // half of its most is left.
     assert_eq!((in_outage, status), (14, 503));
-    let refused = Ask::turn("h1", "p2", "x").send(gateways[0].front).await;
+    let refused = TestRequest::turn("h1", "p2", "x")
+        .send(gateways[0].front)
+        .await;
     assert_eq!(refused.status, 503, "its history needs the store");
     assert!(refused.retry_after_s().is_some());
     end_outage(&site, &gateways).await;
@@ -101,7 +103,7 @@
     begin_outage(&site, &gateways).await;
     let (in_outage, status) = spend(&gateways, "a", "p1", 200).await;
     assert_eq!((in_outage, status), (0, 503));
-    assert_eq!(site.times_run("a0").await, 0);
+    assert_eq!(site.run_count("a0").await, 0);
 }
 
 #[actix_rt::test]
@@ -114,8 +116,8 @@
     for gateway in &mut gateways {
         gateway.kill();
     }
-    site.faults(&StoreFaults::default()).await;
-    let gateways = site.two_ready_gateways().await;
+    site.set_store_faults(&StoreFaults::default()).await;
+    let gateways = site.start_two_ready_gateways().await;
     let (after, status) = spend(&gateways, "b", "p1", 400).await;
     // What the dead hosts granted may be all of their shares, of which one turn's
     // most is forgiven; whether the budget holds more nobody can tell.
@@ -130,7 +132,7 @@
     gateways: [Gateway; 2],
 ) -> [Gateway; 2] {
     for gateway in &gateways {
-        until(
+        wait_until(
             "all turns are settled and the owner holds off",
             async || {
                 gateway.metric("open_changes").await == 0
@@ -142,11 +144,11 @@
     drop(gateways);
     let gateways = hosts
         .each_ref()
-        .map(|host| Gateway::start_holding_off(host, site.door.address()));
+        .map(|host| Gateway::start_holding_off(host, site.store_listener.address()));
     for gateway in &gateways {
-        gateway.until_ready().await;
+        gateway.wait_until_ready().await;
     }
-    until("all slots have an owner again", async || {
+    wait_until("all slots have an owner again", async || {
         let [first, second] = &gateways;
         first.metric("escrow_slots").await + second.metric("escrow_slots").await == ALL_SLOTS
     })
@@ -162,7 +164,7 @@
 /// owners.
 async fn know_the_owners(gateway: &Gateway) {
     let tries = Cell::new(0);
-    until("the owners are known", async || {
+    wait_until("the owners are known", async || {
         tries.set(tries.get() + 1);
         let program = format!("known-to-{}-{}", gateway.front.port(), tries.get());
         let (served, _) = spend(std::slice::from_ref(gateway), &program, &program, 1_000).await;
@@ -173,10 +175,10 @@
 
 /// Two gateways on named hosts, which own all slots between them.
 async fn two_named_owners(site: &Site) -> ([String; 2], [Gateway; 2]) {
-    let hosts = [Gateway::new_host(), Gateway::new_host()];
+    let hosts = [Gateway::new_host_name(), Gateway::new_host_name()];
     let gateways = hosts
         .each_ref()
-        .map(|host| Gateway::start_holding_off(host, site.door.address()));
+        .map(|host| Gateway::start_holding_off(host, site.store_listener.address()));
     for gateway in &gateways {
         know_the_owners(gateway).await;
     }
@@ -227,9 +229,9 @@
     // What the first one had granted is known to the second.
     let spent = turn("c", "p1", 400).send(second.front).await;
     assert_eq!(spent.status, 503);
-    site.faults(&StoreFaults::default()).await;
-    second.until_ready().await;
-    until(
+    site.set_store_faults(&StoreFaults::default()).await;
+    second.wait_until_ready().await;
+    wait_until(
         "the grants of the host that is left are in the ledgers",
         async || second.metric("open_changes").await == 0,
     )
@@ -248,7 +250,7 @@
     let mut gateways = two_owners(&site).await;
     let [first, second] = &mut gateways;
     first.signal("TERM");
-    until("the other host owns all slots", async || {
+    wait_until("the other host owns all slots", async || {
         second.metric("escrow_slots").await == ALL_SLOTS
     })
     .await;
--- a/gateway/tests/overload.rs
+++ b/gateway/tests/overload.rs
@@ -9,12 +9,12 @@
 use futures_util::future::join_all;
 use rosebend_standin::backend::BackendFaults;
 use rosebend_transport::connection::Connection;
-use support::{Ask, Site, until};
+use support::{Site, TestRequest, wait_until};
 
 const MODELS: usize = 0;
 
-fn program(number: usize) -> Ask {
-    Ask::turn(&format!("t{number}"), &format!("p{number}"), "x")
+fn program(number: usize) -> TestRequest {
+    TestRequest::turn(&format!("t{number}"), &format!("p{number}"), "x")
 }
 
 #[actix_rt::test]
@@ -29,12 +29,12 @@
         events: 5,
         ..BackendFaults::default()
     };
-    site.endpoint_faults(MODELS, &late).await;
+    site.set_endpoint_faults(MODELS, &late).await;
     let front = gateway.front;
     let begun = (10..40).map(move |number| async move { program(number).send(front).await });
     let begun = actix_rt::spawn(join_all(begun));
     let tries = Cell::new(100);
-    until("a new program is refused", async || {
+    wait_until("a new program is refused", async || {
         let number = tries.replace(tries.get() + 1);
         let mut connection = Connection::open(front).await.unwrap();
         let request = program(number).request();
@@ -43,18 +43,18 @@
     })
     .await;
     let refused = format!("t{}", tries.get() - 1);
-    assert_eq!(site.times_run(&refused).await, 0);
+    assert_eq!(site.run_count(&refused).await, 0);
     let ended = gateway.events("request-ended");
     let ended = ended.iter().find(|event| event["attempt"] == *refused);
     assert_eq!(ended.unwrap()["reason"], "overloaded");
     for answer in begun.await.unwrap() {
-        assert_eq!((answer.status, answer.is_whole), (200, true));
+        assert_eq!((answer.status, answer.is_complete), (200, true));
     }
     // A program that is under way goes on.
-    let next = Ask::turn("next", "p10", "x").previous("t10");
+    let next = TestRequest::turn("next", "p10", "x").previous("t10");
     assert_eq!(next.send(gateway.front).await.status, 200);
     // Nobody was heard of for a while, and the engine is quick again.
-    site.endpoint_faults(MODELS, &BackendFaults::default())
+    site.set_endpoint_faults(MODELS, &BackendFaults::default())
         .await;
     actix_rt::time::sleep(Duration::from_secs(3)).await;
     assert_eq!(program(51).send(gateway.front).await.status, 200);
@@ -62,8 +62,9 @@
 
 #[actix_rt::test]
 async fn a_program_without_history_is_new_until_it_was_served() {
-    let unkept =
-        |attempt: &str, program: &str| Ask::turn(attempt, program, "x").at("/unkept/stream/turn");
+    let unkept = |attempt: &str, program: &str| {
+        TestRequest::turn(attempt, program, "x").at_path("/unkept/stream/turn")
+    };
     let (site, gateway) = Site::start_with_gateway().await;
     for number in 0..5 {
         let answer = unkept(&format!("t{number}"), "p").send(gateway.front).await;
@@ -74,15 +75,15 @@
         events: 5,
         ..BackendFaults::default()
     };
-    site.endpoint_faults(MODELS, &late).await;
+    site.set_endpoint_faults(MODELS, &late).await;
     let front = gateway.front;
     let begun = (10..40).map(move |number| async move {
         let name = number.to_string();
-        Ask::turn(&name, &name, "x").send(front).await
+        TestRequest::turn(&name, &name, "x").send(front).await
     });
     let begun = actix_rt::spawn(join_all(begun));
     let tries = Cell::new(100);
-    until("a new program is refused", async || {
+    wait_until("a new program is refused", async || {
         let number = tries.replace(tries.get() + 1).to_string();
         let mut connection = Connection::open(front).await.unwrap();
         let request = unkept(&number, &number).request();
--- a/gateway/tests/partitions.rs
+++ b/gateway/tests/partitions.rs
@@ -5,7 +5,7 @@
 
 use rosebend_coordination::gateway::history::partition_of;
 use rosebend_standin::store::StoreFaults;
-use support::{Ask, Gateway, Site, until};
+use support::{Gateway, Site, TestRequest, wait_until};
 
 /// Programs of two partitions.
 fn programs() -> (String, String) {
@@ -26,8 +26,8 @@
 async fn turns(gateways: &[Gateway], program: &str, name: &str, count: usize) -> Vec<u16> {
     let mut statuses = Vec::new();
     for number in 0..count {
-        let ask =
-            Ask::turn(&format!("{name}{number}"), program, "x").header("token-budget", "1000000");
+        let ask = TestRequest::turn(&format!("{name}{number}"), program, "x")
+            .header("token-budget", "1000000");
         let front = gateways[number % gateways.len()].front;
         statuses.push(ask.send(front).await.status);
     }
@@ -37,7 +37,7 @@
 /// The first turn that a host sends finds out. It runs while its reservation is on
 /// its way, as every turn does.
 async fn find_out(gateway: &Gateway, program: &str) {
-    let ask = Ask::turn("first", program, "x").header("deadline-ms", "200");
+    let ask = TestRequest::turn("first", program, "x").header("deadline-ms", "200");
     let status = ask.send(gateway.front).await.status;
     assert!([502, 503, 504].contains(&status), "{status}");
 }
@@ -45,13 +45,14 @@
 #[actix_rt::test]
 async fn a_refused_partition_costs_its_own_programs_alone() {
     let site = Site::start();
-    let gateways = site.two_ready_gateways().await;
+    let gateways = site.start_two_ready_gateways().await;
     for gateway in &gateways {
-        gateway.until_peers(1).await;
+        gateway.wait_for_peers(1).await;
     }
     let (refused, other) = programs();
     assert_eq!(turns(&gateways, &refused, "a", 2).await, [200, 200]);
-    site.faults(&refusing(&partition_of(&refused))).await;
+    site.set_store_faults(&refusing(&partition_of(&refused)))
+        .await;
     for gateway in &gateways {
         find_out(gateway, &refused).await;
     }
@@ -66,8 +67,8 @@
         assert!(gateway.events("store-lost").is_empty());
         assert!(gateway.events("gatherer-avoided").is_empty());
     }
-    site.faults(&StoreFaults::default()).await;
-    until("the partition is served again", async || {
+    site.set_store_faults(&StoreFaults::default()).await;
+    wait_until("the partition is served again", async || {
         turns(&gateways, &refused, "b", 2).await == [200, 200]
     })
     .await;
@@ -77,14 +78,15 @@
 async fn a_refused_partition_says_when_to_come_back() {
     let (site, gateway) = Site::start_with_gateway().await;
     let (refused, _) = programs();
-    site.faults(&refusing(&partition_of(&refused))).await;
+    site.set_store_faults(&refusing(&partition_of(&refused)))
+        .await;
     find_out(&gateway, &refused).await;
-    let ask = Ask::turn("t1", &refused, "x");
+    let ask = TestRequest::turn("t1", &refused, "x");
     for _ in 0..2 {
         let answer = ask.send(gateway.front).await;
         assert_eq!(answer.status, 503);
         assert!(answer.retry_after_s().unwrap() >= 0.25);
         assert!(answer.body.contains("store-unreachable"), "{}", answer.body);
     }
-    assert_eq!(site.times_run("t1").await, 0);
+    assert_eq!(site.run_count("t1").await, 0);
 }
--- a/gateway/tests/plain.rs
+++ b/gateway/tests/plain.rs
@@ -5,16 +5,16 @@
 
 use http::Method;
 use rosebend_standin::backend::BackendFaults;
-use support::{Ask, Site};
+use support::{Site, TestRequest};
 
 const DESK: usize = 1;
 
-fn lookup(attempt: &str) -> Ask {
-    Ask::get("/lookup/status?crew=7").attempt(attempt)
+fn lookup(attempt: &str) -> TestRequest {
+    TestRequest::get("/lookup/status?crew=7").attempt(attempt)
 }
 
-fn fee(attempt: &str) -> Ask {
-    Ask::new(Method::POST, "/fee/receipt")
+fn fee(attempt: &str) -> TestRequest {
+    TestRequest::new(Method::POST, "/fee/receipt")
         .attempt(attempt)
         .body("fee 12")
 }
@@ -42,16 +42,16 @@
 async fn a_refused_request_goes_to_another_endpoint() {
     let mut site = Site::start();
     let other = site.add_endpoint("desk");
-    let gateway = site.ready_gateway().await;
+    let gateway = site.start_ready_gateway().await;
     let faults = BackendFaults {
         refuse: 1_000,
         ..BackendFaults::default()
     };
-    site.endpoint_faults(DESK, &faults).await;
+    site.set_endpoint_faults(DESK, &faults).await;
     for number in 0..6 {
         let attempt = format!("a{number}");
         assert_eq!(fee(&attempt).send(gateway.front).await.status, 200);
-        assert_eq!(site.times_run(&attempt).await, 1);
+        assert_eq!(site.run_count(&attempt).await, 1);
     }
     assert_eq!(site.runs(other).await.len(), 6);
 }
@@ -63,29 +63,29 @@
         refuse: 1_000,
         ..BackendFaults::default()
     };
-    site.endpoint_faults(DESK, &faults).await;
+    site.set_endpoint_faults(DESK, &faults).await;
     let answer = fee("a1").send(gateway.front).await;
     assert_eq!(answer.status, 503);
     assert!(answer.retry_after_s().unwrap() > 0.0);
-    assert_eq!(site.times_run("a1").await, 0);
+    assert_eq!(site.run_count("a1").await, 0);
 }
 
 #[actix_rt::test]
 async fn a_lost_answer_is_told_as_unknown_and_not_run_again() {
     let mut site = Site::start();
     site.add_endpoint("desk");
-    let gateway = site.ready_gateway().await;
+    let gateway = site.start_ready_gateway().await;
     let faults = BackendFaults {
         lose_answers: 1_000,
         ..BackendFaults::default()
     };
     for index in 1..3 {
-        site.endpoint_faults(index, &faults).await;
+        site.set_endpoint_faults(index, &faults).await;
     }
     let answer = fee("a1").send(gateway.front).await;
     assert_eq!(answer.status, 502);
     assert_eq!(answer.header("response-stamp"), None);
-    assert_eq!(site.times_run("a1").await, 1);
+    assert_eq!(site.run_count("a1").await, 1);
     assert_eq!(
         gateway.events("request-ended")[0]["reason"],
         "outcome-unknown"
@@ -96,12 +96,12 @@
 async fn an_idempotent_request_runs_again_after_a_lost_answer() {
     let mut site = Site::start();
     let other = site.add_endpoint("desk");
-    let gateway = site.ready_gateway().await;
+    let gateway = site.start_ready_gateway().await;
     let faults = BackendFaults {
         lose_answers: 1_000,
         ..BackendFaults::default()
     };
-    site.endpoint_faults(DESK, &faults).await;
+    site.set_endpoint_faults(DESK, &faults).await;
     for number in 0..4 {
         let answer = lookup(&format!("a{number}")).send(gateway.front).await;
         assert_eq!(answer.status, 200);
@@ -127,11 +127,11 @@
     ];
     let (site, gateway) = Site::start_with_gateway().await;
     for (number, faults) in table.iter().enumerate() {
-        site.endpoint_faults(DESK, faults).await;
+        site.set_endpoint_faults(DESK, faults).await;
         let attempt = format!("a{number}");
         let answer = fee(&attempt).send(gateway.front).await;
         assert_eq!(answer.status, 502, "{faults:?}");
-        assert_eq!(site.times_run(&attempt).await, 1, "{faults:?}");
+        assert_eq!(site.run_count(&attempt).await, 1, "{faults:?}");
     }
 }
 
@@ -181,8 +181,8 @@
     let (site, gateway) = Site::start_with_gateway().await;
     let long = "x".repeat(150_000);
     let table = [
-        (Ask::get("/lookup/x"), 400),
-        (Ask::get("/nowhere/x").attempt("a1"), 404),
+        (TestRequest::get("/lookup/x"), 400),
+        (TestRequest::get("/nowhere/x").attempt("a1"), 404),
         (lookup("a2").header("host", "other.example"), 404),
         (fee("a3").body(&long), 413),
     ];
@@ -202,9 +202,9 @@
 async fn an_endpoint_that_leaves_gets_nothing_new() {
     let mut site = Site::start();
     let other = site.add_endpoint("desk");
-    let gateway = site.ready_gateway().await;
+    let gateway = site.start_ready_gateway().await;
     site.announce(DESK, "draining");
-    support::until("the endpoint is withdrawn", async || {
+    support::wait_until("the endpoint is withdrawn", async || {
         !gateway.events("endpoint-withdrawn").is_empty()
     })
     .await;
@@ -222,14 +222,14 @@
         delay_ms: 60_000,
         ..BackendFaults::default()
     };
-    site.endpoint_faults(DESK, &slow).await;
+    site.set_endpoint_faults(DESK, &slow).await;
     let ask = lookup("a1");
     let impatient = tokio::time::timeout(
         std::time::Duration::from_millis(200),
         ask.send(gateway.front),
     );
     assert!(impatient.await.is_err());
-    support::until("the trail tells that the caller left", async || {
+    support::wait_until("the trail tells that the caller left", async || {
         let ended = gateway.events("request-ended");
         ended.iter().any(|event| event["reason"] == "caller-left")
     })
--- a/gateway/tests/quarantine.rs
+++ b/gateway/tests/quarantine.rs
@@ -8,7 +8,7 @@
 
 use http::Method;
 use serde_json::json;
-use support::{Ask, Site, until};
+use support::{Site, TestRequest, wait_until};
 
 /// A start of an endpoint that ends with the first request that it is sent.
 fn crashing_endpoint(site: &Site, instance: &str, born_ms: u64) {
@@ -32,9 +32,9 @@
 async fn a_request_that_crashed_three_endpoints_is_refused_by_all_hosts() {
     let site = Site::start();
     site.store.delete("servers", &site.endpoints[1].instance);
-    let gateways = site.two_ready_gateways().await;
+    let gateways = site.start_two_ready_gateways().await;
     let poison = |attempt: &str| {
-        Ask::new(Method::POST, "/fee/receipt")
+        TestRequest::new(Method::POST, "/fee/receipt")
             .attempt(attempt)
             .body("poison")
     };
@@ -42,7 +42,7 @@
         let instance = format!("i-crash-{number}");
         crashing_endpoint(&site, &instance, 1);
         let gateway = &gateways[number % 2];
-        until("the endpoint is listed", async || {
+        wait_until("the endpoint is listed", async || {
             let listed = gateway.events("endpoint-listed");
             listed.iter().any(|event| event["endpoint"] == instance)
         })
@@ -52,7 +52,7 @@
         site.store.delete("servers", &instance);
     }
     for gateway in &gateways {
-        until("the request is in quarantine", async || {
+        wait_until("the request is in quarantine", async || {
             !gateway.events("request-quarantined").is_empty()
         })
         .await;
@@ -60,8 +60,8 @@
     // A sound endpoint is there again: the request stays refused, others not.
     site.announce(1, "ready");
     for (number, gateway) in gateways.iter().enumerate() {
-        until("the sound endpoint serves", async || {
-            let other = Ask::new(Method::POST, "/fee/receipt")
+        wait_until("the sound endpoint serves", async || {
+            let other = TestRequest::new(Method::POST, "/fee/receipt")
                 .attempt("b")
                 .body("fee 12");
             other.send(gateway.front).await.status == 200
@@ -69,7 +69,7 @@
         .await;
         let attempt = format!("c{number}");
         assert_eq!(poison(&attempt).send(gateway.front).await.status, 503);
-        assert_eq!(site.times_run(&attempt).await, 0);
+        assert_eq!(site.run_count(&attempt).await, 0);
     }
 }
 
@@ -77,15 +77,15 @@
 async fn crashes_of_three_starts_under_one_id_are_three_crashes() {
     let site = Site::start();
     site.store.delete("servers", &site.endpoints[1].instance);
-    let gateways = [site.gateway(), site.gateway()];
+    let gateways = [site.start_gateway(), site.start_gateway()];
     for gateway in &gateways {
-        gateway.until_ready().await;
+        gateway.wait_until_ready().await;
     }
     for number in 0..3 {
         crashing_endpoint(&site, "i-crash", number);
         // Each host sees each start, which feeds do not promise by themselves.
         for gateway in &gateways {
-            until("the start is listed", async || {
+            wait_until("the start is listed", async || {
                 let listed = gateway.events("endpoint-listed").into_iter();
                 let starts = listed.filter(|event| event["endpoint"] == "i-crash");
                 starts.count() as u64 == number + 1
@@ -93,13 +93,13 @@
             .await;
         }
         let gateway = &gateways[usize::try_from(number).unwrap() % 2];
-        let ask = Ask::new(Method::POST, "/fee/receipt")
+        let ask = TestRequest::new(Method::POST, "/fee/receipt")
             .attempt(&format!("a{number}"))
             .body("poison");
         assert_eq!(ask.send(gateway.front).await.status, 502);
     }
     for gateway in &gateways {
-        until("the request is in quarantine", async || {
+        wait_until("the request is in quarantine", async || {
             !gateway.events("request-quarantined").is_empty()
         })
         .await;
--- a/gateway/tests/recent_history.rs
+++ b/gateway/tests/recent_history.rs
@@ -3,24 +3,28 @@
 
 mod support;
 
-use support::{Ask, Gateway, Site, until};
+use support::{Gateway, Site, TestRequest, wait_until};
 
 const BY_KEEPER: &str = "history_reads_total{place=\"keeper\"}";
 const BY_STORE: &str = "history_reads_total{place=\"store\"}";
 
 /// Hosts that know each other.
 async fn three_gateways(site: &Site) -> [Gateway; 3] {
-    let gateways = [site.gateway(), site.gateway(), site.gateway()];
+    let gateways = [
+        site.start_gateway(),
+        site.start_gateway(),
+        site.start_gateway(),
+    ];
     for gateway in &gateways {
-        gateway.until_ready().await;
-        gateway.until_peers(2).await;
+        gateway.wait_until_ready().await;
+        gateway.wait_for_peers(2).await;
     }
     gateways
 }
 
 /// A turn that continues from the one before it.
-fn turn(program: &str, number: usize) -> Ask {
-    let ask = Ask::turn(&format!("{program}-t{number}"), program, "x|");
+fn turn(program: &str, number: usize) -> TestRequest {
+    let ask = TestRequest::turn(&format!("{program}-t{number}"), program, "x|");
     match number {
         0 => ask,
         _ => ask.previous(&format!("{program}-t{}", number - 1)),
@@ -30,7 +34,7 @@
 async fn is_served(gateway: &Gateway, program: &str, number: usize) {
     let answer = turn(program, number).send(gateway.front).await;
     assert_eq!(
-        (answer.status, answer.is_whole),
+        (answer.status, answer.is_complete),
         (200, true),
         "turn {number}: {}",
         answer.body
@@ -58,7 +62,7 @@
         }
     };
     let tries = std::cell::Cell::new(0);
-    until("a program is read from no store", async || {
+    wait_until("a program is read from no store", async || {
         let before = sum(&gateways, BY_STORE).await;
         tries.set(tries.get() + 1);
         kept(&format!("p{}", tries.get())).await;
--- a/gateway/tests/resume.rs
+++ b/gateway/tests/resume.rs
@@ -7,7 +7,7 @@
 use rosebend_standin::backend::{BackendFaults, Runs};
 use rosebend_transport::connection::Connection;
 use serde_json::{Value, json};
-use support::{Answer, Ask, Gateway, Site, routes, until};
+use support::{Gateway, Site, TestRequest, TestResponse, routes, wait_until};
 
 const FIRST: usize = 0;
 const EVENTS: &str = "id: 0\ndata: word0\n\nid: 1\ndata: word1\n\nid: 2\ndata: word2\n\n";
@@ -43,8 +43,8 @@
         declared.push(stream_route("live", false, false));
         declared.push(stream_route("talks", true, false));
         site.store.put("op", "config", &config);
-        let gateway = site.gateway();
-        gateway.until_ready().await;
+        let gateway = site.start_gateway();
+        gateway.wait_until_ready().await;
         let world = Self {
             site,
             second,
@@ -57,7 +57,7 @@
     }
 
     async fn until_listed(&self, instance: &str) {
-        until("the endpoint is listed", async || {
+        wait_until("the endpoint is listed", async || {
             let listed = self.gateway.events("endpoint-listed");
             listed.iter().any(|event| event["endpoint"] == instance)
         })
@@ -65,11 +65,11 @@
     }
 
     async fn first_faults(&self, faults: BackendFaults) {
-        self.site.endpoint_faults(FIRST, &faults).await;
+        self.site.set_endpoint_faults(FIRST, &faults).await;
     }
 
     async fn second_faults(&self, faults: BackendFaults) {
-        self.site.endpoint_faults(self.second, &faults).await;
+        self.site.set_endpoint_faults(self.second, &faults).await;
     }
 
     async fn first_runs(&self) -> Runs {
@@ -80,7 +80,7 @@
         self.site.runs(self.second).await
     }
 
-    async fn send(&self, ask: &Ask) -> Answer {
+    async fn send(&self, ask: &TestRequest) -> TestResponse {
         ask.send(self.gateway.front).await
     }
 }
@@ -99,9 +99,9 @@
     index
 }
 
-fn stream(route: &str, attempt: &str, input: &str) -> Ask {
+fn stream(route: &str, attempt: &str, input: &str) -> TestRequest {
     let path = format!("/{route}/stream");
-    Ask::new(http::Method::POST, &path)
+    TestRequest::new(http::Method::POST, &path)
         .attempt(attempt)
         .header("program-id", "p1")
         .header("session-id", "s1")
@@ -125,7 +125,7 @@
         let world = World::start().await;
         world.first_faults(breaks_at(bytes)).await;
         let answer = world.send(&stream("drafts", "a1", "x")).await;
-        let got = (answer.status, answer.body.as_str(), answer.is_whole);
+        let got = (answer.status, answer.body.as_str(), answer.is_complete);
         assert_eq!(got, (200, EVENTS, true), "cut after {bytes} bytes");
         let runs = world.second_runs().await;
         let last_event = runs["a1"].headers.get("last-event-id").cloned();
@@ -141,7 +141,7 @@
         let stamp = format!("stamp.{}", world.site.endpoints[first].instance);
         assert_eq!(answer.header("response-stamp"), Some(stamp.as_str()));
         // Lines are written beside the traffic.
-        until("the stream's steps are written", async || {
+        wait_until("the stream's steps are written", async || {
             !world.gateway.events("stream-resumed").is_empty()
         })
         .await;
@@ -161,7 +161,7 @@
     world.first_faults(lost).await;
     let answer = world.send(&stream("drafts", "a1", "x")).await;
     assert_eq!((answer.status, answer.body.as_str()), (200, EVENTS));
-    assert_eq!(world.site.times_run("a1").await, 2);
+    assert_eq!(world.site.run_count("a1").await, 2);
 }
 
 #[actix_rt::test]
@@ -175,7 +175,7 @@
         };
         world.first_faults(silent).await;
         let answer = world.send(&stream("drafts", "a1", "x")).await;
-        let got = (answer.status, answer.body.as_str(), answer.is_whole);
+        let got = (answer.status, answer.body.as_str(), answer.is_complete);
         assert_eq!(got, (200, EVENTS, true), "silent after {bytes} bytes");
     }
 }
@@ -190,7 +190,7 @@
     };
     world.first_faults(short).await;
     let answer = world.send(&stream("drafts", "a1", "x")).await;
-    let got = (answer.status, answer.body.as_str(), answer.is_whole);
+    let got = (answer.status, answer.body.as_str(), answer.is_complete);
     assert_eq!(got, (200, EVENTS, true));
 }
 
@@ -205,10 +205,10 @@
     let front = world.gateway.front;
     let ask = stream("drafts", "a1", "x");
     let asking = actix_rt::spawn(async move { ask.send(front).await });
-    until("it runs", async || world.site.times_run("a1").await == 1).await;
+    wait_until("it runs", async || world.site.run_count("a1").await == 1).await;
     world.site.announce(FIRST, "draining");
     let answer = asking.await.unwrap();
-    let got = (answer.status, answer.body.as_str(), answer.is_whole);
+    let got = (answer.status, answer.body.as_str(), answer.is_complete);
     assert_eq!(got, (200, EVENTS, true));
 }
 
@@ -219,9 +219,9 @@
     // Of its own bytes, which begin with the second event.
     world.second_faults(breaks_at(EVENT_BYTES + 6)).await;
     let answer = world.send(&stream("drafts", "a1", "x")).await;
-    assert!(!answer.is_whole);
+    assert!(!answer.is_complete);
     assert_eq!(answer.body, EVENTS[..2 * EVENT_BYTES]);
-    assert_eq!(world.site.times_run("a1").await, 2);
+    assert_eq!(world.site.run_count("a1").await, 2);
 }
 
 #[actix_rt::test]
@@ -237,8 +237,8 @@
     };
     world.second_faults(full).await;
     let answer = world.send(&stream("drafts", "a1", "x")).await;
-    assert_eq!((answer.body.as_str(), answer.is_whole), (EVENTS, true));
-    assert_eq!(world.site.times_run("a1").await, 2);
+    assert_eq!((answer.body.as_str(), answer.is_complete), (EVENTS, true));
+    assert_eq!(world.site.run_count("a1").await, 2);
 }
 
 #[actix_rt::test]
@@ -251,7 +251,7 @@
     };
     world.second_faults(forgetful).await;
     let answer = world.send(&stream("drafts", "a1", "x")).await;
-    assert!(!answer.is_whole);
+    assert!(!answer.is_complete);
     assert_eq!(answer.body, EVENTS[..EVENT_BYTES]);
 }
 
@@ -262,14 +262,14 @@
         world.first_faults(breaks_at(EVENT_BYTES + 6)).await;
         let attempt = format!("{route}-1");
         let answer = world.send(&stream(route, &attempt, "x")).await;
-        assert!(!answer.is_whole);
+        assert!(!answer.is_complete);
         assert!(EVENTS.starts_with(&answer.body));
-        assert_eq!(world.site.times_run(&attempt).await, 1, "{route}");
+        assert_eq!(world.site.run_count(&attempt).await, 1, "{route}");
         // Nor does its caller's wish make it one.
         let again = format!("{route}-2");
         let ask = stream(route, &again, "x").header("last-event-id", "0");
         let answer = world.send(&ask).await;
-        assert_eq!((answer.body.as_str(), answer.is_whole), (EVENTS, true));
+        assert_eq!((answer.body.as_str(), answer.is_complete), (EVENTS, true));
         let mut runs = world.first_runs().await;
         runs.extend(world.second_runs().await);
         assert!(!runs[&again].headers.contains_key("last-event-id"));
@@ -282,15 +282,15 @@
     world.first_faults(breaks_at(EVENT_BYTES + 6)).await;
     world.second_faults(breaks_at(3)).await;
     let cut = world.send(&stream("drafts", "a1", "x")).await;
-    assert!(!cut.is_whole);
+    assert!(!cut.is_complete);
     assert_eq!(cut.body, EVENTS[..EVENT_BYTES]);
-    let other = world.site.gateway();
-    other.until_ready().await;
+    let other = world.site.start_gateway();
+    other.wait_until_ready().await;
     // Its first endpoint breaks off before it has given an event.
     world.first_faults(breaks_at(3)).await;
     let ask = stream("drafts", "a2", "x").header("last-event-id", "0");
     let rest = ask.send(other.front).await;
-    let got = (rest.status, rest.body.as_str(), rest.is_whole);
+    let got = (rest.status, rest.body.as_str(), rest.is_complete);
     assert_eq!(got, (200, &EVENTS[EVENT_BYTES..], true));
     for runs in [world.first_runs().await, world.second_runs().await] {
         assert_eq!(runs["a2"].headers["last-event-id"], "0");
@@ -302,9 +302,9 @@
     let world = World::start().await;
     world.first_faults(breaks_at(EVENT_BYTES + 6)).await;
     let answer = world.send(&stream("chats", "t1", "first|")).await;
-    assert_eq!((answer.body.as_str(), answer.is_whole), (EVENTS, true));
+    assert_eq!((answer.body.as_str(), answer.is_complete), (EVENTS, true));
     // Lines are written beside the traffic.
-    until("the turn's steps are written", async || {
+    wait_until("the turn's steps are written", async || {
         !world.gateway.events("turn-recorded").is_empty()
     })
     .await;
@@ -324,7 +324,7 @@
     let world = World::start().await;
     let ask = stream("chats", "t1", "first|").header("last-event-id", "0");
     let rest = world.send(&ask).await;
-    let got = (rest.status, rest.body.as_str(), rest.is_whole);
+    let got = (rest.status, rest.body.as_str(), rest.is_complete);
     assert_eq!(got, (200, &EVENTS[EVENT_BYTES..], true));
     let runs = world.first_runs().await;
     assert!(!runs["t1"].headers.contains_key("last-event-id"));
@@ -343,14 +343,14 @@
     if by_caller {
         world.second_faults(breaks_at(3)).await;
         let cut = world.send(&turn("a1")).await;
-        assert_eq!((cut.body.len(), cut.is_whole), (EVENT_BYTES, false));
+        assert_eq!((cut.body.len(), cut.is_complete), (EVENT_BYTES, false));
         let ask = turn("a2").header("last-event-id", "0");
         let rest = world.send(&ask).await;
-        let got = (rest.body.as_str(), rest.is_whole);
+        let got = (rest.body.as_str(), rest.is_complete);
         assert_eq!(got, (&EVENTS[EVENT_BYTES..], true));
     } else {
         let answer = world.send(&turn("a1")).await;
-        assert_eq!((answer.body.as_str(), answer.is_whole), (EVENTS, true));
+        assert_eq!((answer.body.as_str(), answer.is_complete), (EVENTS, true));
     }
     let next = world.send(&turn("a3")).await;
     assert!(matches!(next.status, 200 | 402), "{}", next.status);
@@ -381,10 +381,10 @@
     let mut body = response.into_body();
     assert!(body.frame().await.unwrap().unwrap().is_data());
     drop(connection);
-    until("the gateway has seen it", async || {
+    wait_until("the gateway has seen it", async || {
         let ended = world.gateway.events("request-ended");
         ended.iter().any(|event| event["reason"] == "caller-left")
     })
     .await;
-    assert_eq!(world.site.times_run("a1").await, 1);
+    assert_eq!(world.site.run_count("a1").await, 1);
 }
--- a/gateway/tests/retention.rs
+++ b/gateway/tests/retention.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use serde_json::json;
-use support::{Ask, Site, routes, until};
+use support::{Site, TestRequest, routes, wait_until};
 
 const MODELS: usize = 0;
 
@@ -21,14 +21,16 @@
 #[actix_rt::test]
 async fn a_program_that_is_over_leaves_no_rows() {
     let site = site();
-    let gateway = site.ready_gateway().await;
-    Ask::turn("t1", "p1", "first|").send(gateway.front).await;
-    Ask::turn("t2", "p1", "second|")
+    let gateway = site.start_ready_gateway().await;
+    TestRequest::turn("t1", "p1", "first|")
+        .send(gateway.front)
+        .await;
+    TestRequest::turn("t2", "p1", "second|")
         .previous("t1")
         .send(gateway.front)
         .await;
     assert_eq!((site.rows("programs"), site.rows("turns")), (3, 2));
-    until("its rows are gone", async || {
+    wait_until("its rows are gone", async || {
         site.rows("programs") == 0 && site.rows("turns") == 0
     })
     .await;
@@ -37,11 +39,11 @@
 #[actix_rt::test]
 async fn a_program_of_two_hosts_leaves_no_rows_and_none_goes_early() {
     let site = site();
-    let gateways = site.two_ready_gateways().await;
+    let gateways = site.start_two_ready_gateways().await;
     let mut previous: Option<String> = None;
     for number in 0..8 {
         let attempt = format!("t{number}");
-        let mut ask = Ask::turn(&attempt, "p1", "x|");
+        let mut ask = TestRequest::turn(&attempt, "p1", "x|");
         if let Some(previous) = &previous {
             ask = ask.previous(previous);
         }
@@ -51,7 +53,7 @@
         // All turns together take longer than one is kept after its own end.
         actix_rt::time::sleep(Duration::from_millis(400)).await;
     }
-    until("its rows are gone", async || {
+    wait_until("its rows are gone", async || {
         site.rows("programs") == 0 && site.rows("turns") == 0
     })
     .await;
@@ -60,9 +62,11 @@
 #[actix_rt::test]
 async fn a_program_that_continued_from_another_one_outlives_it() {
     let site = site();
-    let gateway = site.ready_gateway().await;
-    Ask::turn("t1", "p1", "first|").send(gateway.front).await;
-    Ask::turn("u1", "p2", "other|")
+    let gateway = site.start_ready_gateway().await;
+    TestRequest::turn("t1", "p1", "first|")
+        .send(gateway.front)
+        .await;
+    TestRequest::turn("u1", "p2", "other|")
         .previous("t1")
         .send(gateway.front)
         .await;
@@ -71,12 +75,12 @@
     for number in 2..10 {
         actix_rt::time::sleep(Duration::from_millis(400)).await;
         let attempt = format!("u{number}");
-        let ask = Ask::turn(&attempt, "p2", "x|").previous(&previous);
+        let ask = TestRequest::turn(&attempt, "p2", "x|").previous(&previous);
         assert_eq!(ask.send(gateway.front).await.status, 200);
         previous = attempt;
     }
-    let fresh = site.ready_gateway().await;
-    let ask = Ask::turn("u99", "p2", "last").previous(&previous);
+    let fresh = site.start_ready_gateway().await;
+    let ask = TestRequest::turn("u99", "p2", "last").previous(&previous);
     assert_eq!(ask.send(fresh.front).await.status, 200);
     let prompt = site.runs(MODELS).await["u99"].body.clone();
     assert!(prompt.starts_with("first|word0\n"), "{prompt}");
--- a/gateway/tests/soak.rs
+++ b/gateway/tests/soak.rs
@@ -34,7 +34,7 @@
 use fleet::{Fleet, Shared};
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
-use support::{Ask, until};
+use support::{TestRequest, wait_until};
 
 /// Seeds that CI plays.
 ///
@@ -156,11 +156,11 @@
     assert_eq!(fronts.len(), hosts, "seed {seed}: a host is down");
     for (number, front) in fronts.into_iter().enumerate() {
         let tries = RefCell::new(0);
-        until("a gateway serves again", async || {
+        wait_until("a gateway serves again", async || {
             *tries.borrow_mut() += 1;
             let attempt = format!("after-{seed}-{number}-{}", tries.borrow());
-            let answer = Ask::turn(&attempt, &attempt, "x").send(front).await;
-            answer.status == 200 && answer.is_whole
+            let answer = TestRequest::turn(&attempt, &attempt, "x").send(front).await;
+            answer.status == 200 && answer.is_complete
         })
         .await;
     }
--- a/gateway/tests/soak/callers.rs
+++ b/gateway/tests/soak/callers.rs
@@ -16,7 +16,7 @@
 
 use crate::budgets::{Budgets, End, WronglyRefused};
 use crate::fleet::Shared;
-use crate::support::{Answer, Ask};
+use crate::support::{TestRequest, TestResponse};
 
 /// Longest wait of a caller for one answer.
 const PATIENCE: Duration = Duration::from_secs(4);
@@ -80,9 +80,9 @@
         self.budgets.overspent()
     }
 
-    fn count(&mut self, answer: &Answer) {
+    fn count(&mut self, answer: &TestResponse) {
         match answer.status {
-            200 if answer.is_whole => self.whole += 1,
+            200 if answer.is_complete => self.whole += 1,
             status if PROMISES.contains(&status) => self.refused += 1,
             _ => self.other += 1,
         }
@@ -140,13 +140,15 @@
 
 impl Program {
     /// A turn that goes on from what was said before.
-    fn turn(&self, attempt: &str, input: &str, said: Option<&Said>) -> Ask {
-        let ask = Ask::turn(attempt, &self.name, input)
+    fn turn(&self, attempt: &str, input: &str, said: Option<&Said>) -> TestRequest {
+        let ask = TestRequest::turn(attempt, &self.name, input)
             .header("token-budget", &self.budget_tokens.to_string());
         match said {
             Some(said) if self.is_kept => ask.previous(&said.attempt),
             None if self.is_kept => ask,
-            said => ask.at("/unkept/stream/turn").body(&prompt(said, input)),
+            said => ask
+                .at_path("/unkept/stream/turn")
+                .body(&prompt(said, input)),
         }
     }
 }
@@ -304,7 +306,7 @@
             let answer = self.ask(&ask).await;
             self.note_turn(program, &attempt, said, answer.as_ref());
             let answer = answer.unwrap_or_default();
-            if answer.status == 200 && answer.is_whole {
+            if answer.status == 200 && answer.is_complete {
                 let prompt = prompt(said, &input);
                 let said = Said {
                     attempt,
@@ -329,7 +331,7 @@
         program: &Program,
         attempt: &str,
         previous: Option<&Said>,
-        answer: Option<&Answer>,
+        answer: Option<&TestResponse>,
     ) {
         let mut ledger = self.ledger.borrow_mut();
         // The end of a turn that is kept is handed out once it is durable.
@@ -357,15 +359,17 @@
         let attempt = self.attempt();
         let is_unsafe = self.random.random_bool(0.5);
         let ask = match is_unsafe {
-            true => Ask::new(Method::POST, "/fee/receipt").body("fee"),
-            false => Ask::get("/lookup/status"),
+            true => TestRequest::new(Method::POST, "/fee/receipt").body("fee"),
+            false => TestRequest::get("/lookup/status"),
         };
         let Some(answer) = self.ask(&ask.attempt(&attempt)).await else {
             return;
         };
         let mut ledger = self.ledger.borrow_mut();
         ledger.count(&answer);
-        if answer.status == 200 && answer.is_whole && answer.body != format!("answer to {attempt}")
+        if answer.status == 200
+            && answer.is_complete
+            && answer.body != format!("answer to {attempt}")
         {
             let violation = format!("{attempt} got {:?}", answer.body);
             ledger.violations.push(violation);
@@ -382,7 +386,7 @@
 
     /// Sends a request to a host; none when it could not be sent. One that got
     /// no answer is not known to have failed.
-    async fn ask(&mut self, ask: &Ask) -> Option<Answer> {
+    async fn ask(&mut self, ask: &TestRequest) -> Option<TestResponse> {
         let Some(front) = self.choose() else {
             actix_rt::time::sleep(Duration::from_millis(50)).await;
             return None;
@@ -395,7 +399,7 @@
         let answer = tokio::time::timeout(PATIENCE, ask.send_on(&mut connection)).await;
         let answer = answer.unwrap_or_default();
         let closes = answer.header("connection") == Some("close");
-        if answer.status != 0 && answer.is_whole && !closes {
+        if answer.status != 0 && answer.is_complete && !closes {
             self.connections.insert(front, connection);
         }
         Some(answer)
@@ -414,13 +418,13 @@
 }
 
 /// How a turn ended, by what its caller got.
-fn end_of(answer: Option<&Answer>) -> End {
+fn end_of(answer: Option<&TestResponse>) -> End {
     let Some(answer) = answer else {
         return End::NotRun;
     };
     let events = answer.body.matches("data: ").count() as u64;
     match answer.status {
-        200 if answer.is_whole => End::Whole { events },
+        200 if answer.is_complete => End::Whole { events },
         402 => End::BudgetSpent,
         status if PROMISES.contains(&status) => End::NotRun,
         _ => End::Unknown { events },
--- a/gateway/tests/soak/faults.rs
+++ b/gateway/tests/soak/faults.rs
@@ -119,7 +119,7 @@
         Kind::ForgottenHistory => fleet.borrow().site.store.forget_history(),
         Kind::ChangedRoutes => fleet
             .borrow_mut()
-            .declare(random.random_range(2_500..3_500)),
+            .declare_routes(random.random_range(2_500..3_500)),
         Kind::Kill => kill(fleet, &[host], random).await,
         Kind::KillMany => {
             let share = *[0.3, 0.6, 1.0].choose(random).unwrap();
--- a/gateway/tests/soak/fleet.rs
+++ b/gateway/tests/soak/fleet.rs
@@ -13,7 +13,7 @@
 use rosebend_system_tests::relay::Relay;
 use serde_json::{Value, json};
 
-use crate::support::{self, Ask, Gateway, Site};
+use crate::support::{self, Gateway, Site, TestRequest};
 
 /// Doors of the store. The hosts share them in turn, so that a fault of one
 /// door is an outage for a part of the fleet.
@@ -81,7 +81,7 @@
             .iter()
             .map(|door| Relay::start(door.address()).unwrap());
         let host = |_| Host {
-            name: Gateway::new_host(),
+            name: Gateway::new_host_name(),
             process: None,
             is_frozen: false,
             margin: SOUND_MARGIN,
@@ -101,12 +101,12 @@
             let address = fleet.endpoint_address(endpoint);
             fleet.announce(endpoint, "ready", report(address).await.born);
         }
-        fleet.site.declare(1);
+        fleet.site.declare_routes(1);
         for host in 0..hosts {
             fleet.start_host(host);
         }
         for gateway in fleet.hosts.iter().flat_map(|host| &host.process) {
-            gateway.until_ready().await;
+            gateway.wait_until_ready().await;
         }
         Rc::new(RefCell::new(fleet))
     }
@@ -156,7 +156,7 @@
     /// Puts another host in the place of one that has no process.
     pub fn replace_host(&mut self, host: usize) {
         if self.hosts[host].process.is_none() {
-            self.hosts[host].name = Gateway::new_host();
+            self.hosts[host].name = Gateway::new_host_name();
             self.start_host(host);
         }
     }
@@ -221,7 +221,7 @@
     }
 
     /// Declares the routes anew, with another timeout.
-    pub fn declare(&mut self, timeout_ms: u64) {
+    pub fn declare_routes(&mut self, timeout_ms: u64) {
         self.config_version += 3;
         let mut config = support::routes(self.config_version);
         for route in config["routes"].as_array_mut().unwrap() {
@@ -303,7 +303,7 @@
 
 /// What an endpoint says of itself.
 pub async fn report(endpoint: SocketAddr) -> Report {
-    let answer = Ask::get("/report").send(endpoint).await;
+    let answer = TestRequest::get("/report").send(endpoint).await;
     serde_json::from_str(&answer.body).unwrap()
 }
 
@@ -313,7 +313,7 @@
     let count = fleet.borrow().endpoint_count();
     for endpoint in 0..count {
         let address = fleet.borrow().endpoint_address(endpoint);
-        let answer = Ask::get("/runs").send(address).await;
+        let answer = TestRequest::get("/runs").send(address).await;
         runs.push(serde_json::from_str(&answer.body).unwrap());
     }
     runs
@@ -333,7 +333,7 @@
 
 /// Posts to a stand-in, which takes it at once.
 pub async fn post(address: SocketAddr, path: &str, body: &Value) {
-    let ask = Ask::new(http::Method::POST, path).body(&body.to_string());
+    let ask = TestRequest::new(http::Method::POST, path).body(&body.to_string());
     assert_eq!(ask.send(address).await.status, 200);
 }
 
--- a/gateway/tests/starts.rs
+++ b/gateway/tests/starts.rs
@@ -9,14 +9,14 @@
 
 use http::Method;
 use serde_json::json;
-use support::{Ask, FIRST_START_MS, Gateway, Site, until};
+use support::{FIRST_START_MS, Gateway, Site, TestRequest, wait_until};
 
 const MODELS: usize = 0;
 const DESK: usize = 1;
 
 /// Waits until a gateway has listed some starts that followed others.
 async fn until_started_again(gateway: &Gateway, times: usize) {
-    until("the new start is listed", async || {
+    wait_until("the new start is listed", async || {
         let listed = gateway.events("endpoint-listed");
         let again = listed
             .iter()
@@ -65,7 +65,7 @@
     }
 
     async fn until_asked(&self) {
-        until("the first start has the request", async || {
+        wait_until("the first start has the request", async || {
             self.has_request.try_recv().is_ok()
         })
         .await;
@@ -82,14 +82,14 @@
     let mut site = Site::start();
     let doomed = Doomed::start();
     let instance = site.endpoints[DESK].instance.clone();
-    site.endpoints[DESK].born_ms = Some(FIRST_START_MS + 1);
+    site.endpoints[DESK].started_ms = Some(FIRST_START_MS + 1);
     site.store.put(
         "servers",
         &instance,
         &entry("desk", doomed.address, FIRST_START_MS + 1),
     );
-    let gateway = site.gateway();
-    gateway.until_ready().await;
+    let gateway = site.start_gateway();
+    gateway.wait_until_ready().await;
     (site, gateway, doomed)
 }
 
@@ -97,7 +97,7 @@
 async fn a_request_that_an_earlier_start_had_is_unknown_and_not_run_again() {
     let (mut site, gateway, doomed) = doomed_desk().await;
     let fee = |attempt: &str| {
-        Ask::new(Method::POST, "/fee/receipt")
+        TestRequest::new(Method::POST, "/fee/receipt")
             .attempt(attempt)
             .body("fee 12")
     };
@@ -105,7 +105,7 @@
     let ask = fee("a1");
     let asked = actix_rt::spawn(async move { ask.send(front).await });
     doomed.until_asked().await;
-    site.start_again(DESK);
+    site.restart_endpoint(DESK);
     until_started_again(&gateway, 1).await;
     doomed.crash();
     assert_eq!(asked.await.unwrap().status, 502);
@@ -119,10 +119,10 @@
 async fn a_request_that_may_run_twice_goes_to_the_new_start() {
     let (mut site, gateway, doomed) = doomed_desk().await;
     let front = gateway.front;
-    let ask = Ask::get("/lookup/x").attempt("a1");
+    let ask = TestRequest::get("/lookup/x").attempt("a1");
     let asked = actix_rt::spawn(async move { ask.send(front).await });
     doomed.until_asked().await;
-    site.start_again(DESK);
+    site.restart_endpoint(DESK);
     until_started_again(&gateway, 1).await;
     doomed.crash();
     assert_eq!(asked.await.unwrap().status, 200);
@@ -132,37 +132,37 @@
 #[actix_rt::test]
 async fn a_new_start_is_sent_nothing_on_connections_of_the_one_before() {
     let mut site = Site::start();
-    let gateways = [site.gateway(), site.gateway()];
+    let gateways = [site.start_gateway(), site.start_gateway()];
     for gateway in &gateways {
-        gateway.until_ready().await;
+        gateway.wait_until_ready().await;
         for number in 0..4 {
-            let ask = Ask::get("/lookup/x").attempt(&format!("a{number}"));
+            let ask = TestRequest::get("/lookup/x").attempt(&format!("a{number}"));
             assert_eq!(ask.send(gateway.front).await.status, 200);
         }
     }
     // Two starts within one heartbeat: nobody sees the first of them.
-    site.start_again(DESK);
-    site.start_again(DESK);
+    site.restart_endpoint(DESK);
+    site.restart_endpoint(DESK);
     for gateway in &gateways {
         until_started_again(gateway, 1).await;
         for number in 0..4 {
-            let ask = Ask::get("/lookup/x").attempt(&format!("b{number}"));
+            let ask = TestRequest::get("/lookup/x").attempt(&format!("b{number}"));
             assert_eq!(ask.send(gateway.front).await.status, 200);
         }
     }
     assert_eq!(site.runs(DESK).await.len(), 4);
-    assert!(!site.earlier_runs(DESK, 0).await.contains_key("b0"));
-    assert_eq!(site.earlier_runs(DESK, 1).await.len(), 0);
+    assert!(!site.previous_runs(DESK, 0).await.contains_key("b0"));
+    assert_eq!(site.previous_runs(DESK, 1).await.len(), 0);
 }
 
 #[actix_rt::test]
 async fn an_entry_of_an_earlier_start_that_comes_late_changes_nothing() {
     let mut site = Site::start();
-    let gateway = site.gateway();
-    gateway.until_ready().await;
-    site.start_again(DESK);
+    let gateway = site.start_gateway();
+    gateway.wait_until_ready().await;
+    site.restart_endpoint(DESK);
     until_started_again(&gateway, 1).await;
-    let earlier = site.endpoints[DESK].earlier[0].address();
+    let earlier = site.endpoints[DESK].previous_servers[0].address();
     let instance = site.endpoints[DESK].instance.clone();
     site.store.put(
         "servers",
@@ -171,12 +171,12 @@
     );
     // The next endpoint's entry comes after it.
     site.add_endpoint("models");
-    until("the later entry is read", async || {
+    wait_until("the later entry is read", async || {
         let listed = gateway.events("endpoint-listed");
         listed.iter().any(|event| event["endpoint"] == "i-models-2")
     })
     .await;
-    let ask = Ask::get("/lookup/x").attempt("a1");
+    let ask = TestRequest::get("/lookup/x").attempt("a1");
     assert_eq!(ask.send(gateway.front).await.status, 200);
     assert!(site.runs(DESK).await.contains_key("a1"));
 }
@@ -184,20 +184,20 @@
 #[actix_rt::test]
 async fn a_turn_is_not_thought_warm_at_a_later_start() {
     let mut site = Site::start();
-    let gateway = site.gateway();
-    gateway.until_ready().await;
+    let gateway = site.start_gateway();
+    gateway.wait_until_ready().await;
     // A prompt that is worth a detour.
-    let first = Ask::turn("t0", "p1", "a").header("token-counts", "5000,10");
+    let first = TestRequest::turn("t0", "p1", "a").header("token-counts", "5000,10");
     assert_eq!(first.send(gateway.front).await.status, 200);
     let other = site.add_endpoint("models");
-    until("the other is listed", async || {
+    wait_until("the other is listed", async || {
         gateway.events("endpoint-listed").len() == 3
     })
     .await;
     let turns = async |name: &str| {
         for number in 0..8 {
             let attempt = format!("{name}{number}");
-            let turn = Ask::turn(&attempt, "p1", "b").previous("t0");
+            let turn = TestRequest::turn(&attempt, "p1", "b").previous("t0");
             let turn = turn.header("token-counts", "5000,10");
             assert_eq!(turn.send(gateway.front).await.status, 200, "{attempt}");
         }
@@ -206,7 +206,7 @@
     assert_eq!(site.runs(other).await.len(), 0);
     // The new start is slow at first, which a warm prompt would outweigh.
     site.endpoints[MODELS].cold_left_ms = 60_000;
-    site.start_again(MODELS);
+    site.restart_endpoint(MODELS);
     until_started_again(&gateway, 1).await;
     turns("t2").await;
     assert_eq!(site.runs(other).await.len(), 8);
--- a/gateway/tests/support/mod.rs
+++ b/gateway/tests/support/mod.rs
@@ -1,7 +1,8 @@
-//! A store, endpoints and gateways as separate processes, and a caller.
+//! Test environment: a store and endpoints within the test process, gateways as
+//! child processes, and a client that sends requests as callers do.
 //!
-//! Every address is a free port of loopback. Gateways are ended when they are
-//! dropped.
+//! All servers listen on free loopback ports. A gateway process is killed when
+//! its [`Gateway`] is dropped.
 
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
@@ -22,80 +23,84 @@
 use rosebend_transport::connection::Connection;
 use serde_json::{Value, json};
 
-/// Longest wait for something that must come.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// Time after which waiting for an expected condition fails the test.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
-static NEXT: AtomicU64 = AtomicU64::new(1);
+static NEXT_NUMBER: AtomicU64 = AtomicU64::new(1);
 
-/// A number that no other test of the process has.
-fn unique() -> u64 {
-    NEXT.fetch_add(1, Ordering::Relaxed)
+/// Returns a number that is unique within the test process.
+fn unique_number() -> u64 {
+    NEXT_NUMBER.fetch_add(1, Ordering::Relaxed)
 }
 
 fn free_listener() -> TcpListener {
     TcpListener::bind("127.0.0.1:0").expect("loopback has a free port")
 }
 
-/// A site of one store and some endpoints.
+/// A store and the endpoints that are registered in it.
 pub struct Site {
     pub store: Store,
-    pub door: RunningServer,
+    pub store_listener: RunningServer,
     pub endpoints: Vec<Endpoint>,
 }
 
+/// An endpoint server and the contents of its entry in the store.
 pub struct Endpoint {
+    /// Id of the endpoint, which is the key of its entry.
     pub instance: String,
     pub service: String,
     pub server: RunningServer,
-    /// Time of day of its start; none when it tells none.
-    pub born_ms: Option<u64>,
-    /// How much longer it says that it is slow.
+    /// Unix time of its start in milliseconds, or `None` if its entry has none.
+    pub started_ms: Option<u64>,
+    /// Time in milliseconds for which its entry says that it stays slow after
+    /// its start.
     pub cold_left_ms: u64,
-    /// Servers of its earlier starts, which still serve.
-    pub earlier: Vec<RunningServer>,
+    /// Servers of its previous starts, which keep serving requests.
+    pub previous_servers: Vec<RunningServer>,
 }
 
-/// When the first start of each endpoint was.
+/// Unix time in milliseconds of the first start of each endpoint.
 pub const FIRST_START_MS: u64 = 1_764_720_000_000;
 
 impl Site {
-    /// A site whose routes and endpoints are declared.
+    /// Starts a site and writes its routes and endpoint entries to the store.
     pub fn start() -> Self {
         let site = Self::without_routes();
-        site.declare(1);
+        site.declare_routes(1);
         site
     }
 
-    /// A site whose routes and endpoints are declared, and a gateway that takes
-    /// callers.
+    /// Starts a site with routes and endpoints, and a gateway, and waits until
+    /// the gateway accepts callers.
     pub async fn start_with_gateway() -> (Self, Gateway) {
         let site = Self::start();
-        let gateway = site.ready_gateway().await;
+        let gateway = site.start_ready_gateway().await;
         (site, gateway)
     }
 
-    /// A site with two gateways that know each other. The first has a door of
-    /// the store to itself, which faults of the site do not touch.
+    /// Starts a site and two gateways and waits until each has discovered the
+    /// other. The first gateway uses a store listener of its own, to which the
+    /// faults of [`Site::set_store_faults`] do not apply.
     pub async fn start_with_peer() -> (Self, RunningServer, Gateway, Gateway) {
         let site = Self::start();
-        let open_door = site.open_door();
-        let peer = Gateway::start(open_door.address());
-        let gateway = site.gateway();
-        peer.until_ready().await;
-        gateway.until_ready().await;
+        let open_listener = site.open_store_listener();
+        let peer = Gateway::start(open_listener.address());
+        let gateway = site.start_gateway();
+        peer.wait_until_ready().await;
+        gateway.wait_until_ready().await;
         for each in [&peer, &gateway] {
-            each.until_peers(1).await;
+            each.wait_for_peers(1).await;
         }
-        (site, open_door, peer, gateway)
+        (site, open_listener, peer, gateway)
     }
 
-    /// A site whose operators have declared nothing yet.
+    /// Starts a site whose store has endpoint entries but no routes.
     pub fn without_routes() -> Self {
         let store = Store::default();
-        let door = store.open_door(free_listener()).unwrap();
+        let store_listener = store.open_door(free_listener()).unwrap();
         let mut site = Self {
             store,
-            door,
+            store_listener,
             endpoints: Vec::new(),
         };
         site.add_endpoint("models");
@@ -103,44 +108,45 @@
         site
     }
 
+    /// Starts an endpoint, writes its entry, and returns its index.
     pub fn add_endpoint(&mut self, service: &str) -> usize {
         let instance = format!("i-{service}-{}", self.endpoints.len());
-        let born_ms = FIRST_START_MS;
-        let server = Backend::start_at(free_listener(), &instance, born_ms).unwrap();
+        let started_ms = FIRST_START_MS;
+        let server = Backend::start_at(free_listener(), &instance, started_ms).unwrap();
         self.endpoints.push(Endpoint {
             instance,
             service: service.to_owned(),
             server,
-            born_ms: Some(born_ms),
+            started_ms: Some(started_ms),
             cold_left_ms: 0,
-            earlier: Vec::new(),
+            previous_servers: Vec::new(),
         });
         let index = self.endpoints.len() - 1;
         self.announce(index, "ready");
         index
     }
 
-    /// Starts an endpoint again under its id, a millisecond after the start
-    /// before and at another address. The server of that start serves on, so
-    /// that a request which it is still sent shows.
-    pub fn start_again(&mut self, index: usize) {
+    /// Restarts an endpoint under the same id at another address, with a start
+    /// time one millisecond later. The server of the previous start keeps
+    /// serving, so that a test detects requests that are still sent to it.
+    pub fn restart_endpoint(&mut self, index: usize) {
         let endpoint = &mut self.endpoints[index];
-        let born_ms = endpoint.born_ms.unwrap_or(FIRST_START_MS) + 1;
-        let server = Backend::start_at(free_listener(), &endpoint.instance, born_ms).unwrap();
-        let earlier = std::mem::replace(&mut endpoint.server, server);
-        endpoint.earlier.push(earlier);
-        endpoint.born_ms = Some(born_ms);
+        let started_ms = endpoint.started_ms.unwrap_or(FIRST_START_MS) + 1;
+        let server = Backend::start_at(free_listener(), &endpoint.instance, started_ms).unwrap();
+        let previous_server = std::mem::replace(&mut endpoint.server, server);
+        endpoint.previous_servers.push(previous_server);
+        endpoint.started_ms = Some(started_ms);
         self.announce(index, "ready");
     }
 
-    /// What ran at an earlier start of an endpoint.
-    pub async fn earlier_runs(&self, index: usize, start: usize) -> Runs {
-        let address = self.endpoints[index].earlier[start].address();
-        let answer = Ask::get("/runs").send(address).await;
+    /// Returns the attempts that a previous start of an endpoint ran.
+    pub async fn previous_runs(&self, index: usize, start: usize) -> Runs {
+        let address = self.endpoints[index].previous_servers[start].address();
+        let answer = TestRequest::get("/runs").send(address).await;
         serde_json::from_str(&answer.body).unwrap()
     }
 
-    /// Writes an endpoint's entry.
+    /// Writes an endpoint's entry to the store.
     pub fn announce(&self, index: usize, state: &str) {
         let endpoint = &self.endpoints[index];
         let mut entry = json!({
@@ -153,14 +159,14 @@
             "cold-left-ms": endpoint.cold_left_ms,
             "seq": 1,
         });
-        if let Some(born_ms) = endpoint.born_ms {
-            entry["born"] = json!(born_ms);
+        if let Some(started_ms) = endpoint.started_ms {
+            entry["born"] = json!(started_ms);
         }
         self.store.put("servers", &endpoint.instance, &entry);
     }
 
-    /// Writes the entry of an endpoint that is none of the site's.
-    pub fn announce_at(&self, instance: &str, service: &str, address: SocketAddr) {
+    /// Writes the entry of an endpoint that this site does not run.
+    pub fn announce_external(&self, instance: &str, service: &str, address: SocketAddr) {
         let entry = json!({
             "service": service,
             "address": address.to_string(),
@@ -174,31 +180,36 @@
         self.store.put("servers", instance, &entry);
     }
 
-    /// Rows of a table that the store has.
+    /// Returns the number of rows of a table in the store.
     pub fn rows(&self, table: &str) -> usize {
         self.store.row_count(table)
     }
 
-    pub fn declare(&self, version: u64) {
+    /// Writes the routes to the store as the given version of the
+    /// configuration.
+    pub fn declare_routes(&self, version: u64) {
         self.store.put("op", "config", &routes(version));
     }
 
-    pub async fn faults(&self, faults: &StoreFaults) {
-        post_faults(self.door.address(), &json!(faults)).await;
+    /// Sets the faults of the site's store listener.
+    pub async fn set_store_faults(&self, faults: &StoreFaults) {
+        post_faults(self.store_listener.address(), &json!(faults)).await;
     }
 
-    pub async fn endpoint_faults(&self, index: usize, faults: &BackendFaults) {
+    /// Sets the faults of one endpoint.
+    pub async fn set_endpoint_faults(&self, index: usize, faults: &BackendFaults) {
         post_faults(self.endpoints[index].server.address(), &json!(faults)).await;
     }
 
+    /// Returns the attempts that one endpoint ran.
     pub async fn runs(&self, index: usize) -> Runs {
         let address = self.endpoints[index].server.address();
-        let answer = Ask::get("/runs").send(address).await;
+        let answer = TestRequest::get("/runs").send(address).await;
         serde_json::from_str(&answer.body).unwrap()
     }
 
-    /// How often an attempt ran, at all endpoints together.
-    pub async fn times_run(&self, attempt: &str) -> u64 {
+    /// Returns how many times an attempt ran, summed over all endpoints.
+    pub async fn run_count(&self, attempt: &str) -> u64 {
         let mut count = 0;
         for index in 0..self.endpoints.len() {
             count += self
@@ -210,33 +221,35 @@
         count
     }
 
-    pub fn gateway(&self) -> Gateway {
-        Gateway::start(self.door.address())
+    /// Starts a gateway that uses the site's store listener.
+    pub fn start_gateway(&self) -> Gateway {
+        Gateway::start(self.store_listener.address())
     }
 
-    /// A gateway that takes callers.
-    pub async fn ready_gateway(&self) -> Gateway {
-        let gateway = self.gateway();
-        gateway.until_ready().await;
+    /// Starts a gateway and waits until it accepts callers.
+    pub async fn start_ready_gateway(&self) -> Gateway {
+        let gateway = self.start_gateway();
+        gateway.wait_until_ready().await;
         gateway
     }
 
-    /// Two gateways that take callers, started at the same time.
-    pub async fn two_ready_gateways(&self) -> [Gateway; 2] {
-        let gateways = [self.gateway(), self.gateway()];
+    /// Starts two gateways at the same time and waits until both accept
+    /// callers.
+    pub async fn start_two_ready_gateways(&self) -> [Gateway; 2] {
+        let gateways = [self.start_gateway(), self.start_gateway()];
         for gateway in &gateways {
-            gateway.until_ready().await;
+            gateway.wait_until_ready().await;
         }
         gateways
     }
 
-    /// Another door of the store, without faults.
-    pub fn open_door(&self) -> RunningServer {
+    /// Opens another listener of the store, which has no faults.
+    pub fn open_store_listener(&self) -> RunningServer {
         self.store.open_door(free_listener()).unwrap()
     }
 }
 
-/// The routes that tests use.
+/// Returns the configuration that most tests use: routes, services and limits.
 pub fn routes(version: u64) -> Value {
     let route = |name: &str, prefix: &str, kind: &str, service: &str| {
         json!({
@@ -267,87 +280,107 @@
     })
 }
 
-/// Sets the faults of one door of a store.
-pub async fn set_faults(door: &RunningServer, faults: &StoreFaults) {
-    post_faults(door.address(), &json!(faults)).await;
+/// Sets the faults of one listener of a store.
+pub async fn set_listener_faults(store_listener: &RunningServer, faults: &StoreFaults) {
+    post_faults(store_listener.address(), &json!(faults)).await;
 }
 
 async fn post_faults(address: SocketAddr, faults: &Value) {
-    let answer = Ask::new(Method::POST, "/faults").body(&faults.to_string());
+    let answer = TestRequest::new(Method::POST, "/faults").body(&faults.to_string());
     assert_eq!(answer.send(address).await.status, 200);
 }
 
-/// A gateway process.
+/// A gateway process, which is killed on drop.
 pub struct Gateway {
     child: Child,
+    /// Address on which it accepts callers.
     pub front: SocketAddr,
+    /// Address of its readiness endpoint.
     pub ready: SocketAddr,
+    /// Address of its metrics endpoint.
     pub metrics: SocketAddr,
+    /// Address on which it accepts other gateways.
     pub relay: SocketAddr,
+    /// Path of its settings file.
     settings: PathBuf,
+    /// Lines of its log.
     lines: Arc<Mutex<Vec<String>>>,
+    /// Panic messages from its standard error.
     panics: Arc<Mutex<Vec<String>>>,
 }
 
 impl Gateway {
+    /// Starts a gateway on a new host.
     pub fn start(store: SocketAddr) -> Self {
-        Self::start_reading(store, true)
+        Self::start_with_output(store, true)
     }
 
-    /// Starts a gateway that commits for the others of a site, and by no other:
-    /// it has more of a processor.
-    pub fn start_strong(store: SocketAddr) -> Self {
-        Self::start_strong_on(&Self::new_host(), store)
+    /// Starts a gateway that the other gateways of a site use as their batcher
+    /// and that uses none of them itself, because it is configured with more
+    /// processor cores.
+    pub fn start_batcher(store: SocketAddr) -> Self {
+        Self::start_batcher_on(&Self::new_host_name(), store)
     }
 
-    /// The same for a host that may have run a process before.
-    pub fn start_strong_on(host: &str, store: SocketAddr) -> Self {
+    /// Does the same as [`Gateway::start_batcher`] on a host that may have run
+    /// a process before.
+    pub fn start_batcher_on(host: &str, store: SocketAddr) -> Self {
         Self::start_with(host, store, true, "processor_cores = 4\n")
     }
 
-    /// Starts a gateway; `reads_on` tells whether its output is read on after
-    /// the lines that tell its addresses.
-    pub fn start_reading(store: SocketAddr, reads_on: bool) -> Self {
-        Self::start_on(&Self::new_host(), store, reads_on)
+    /// Starts a gateway on a new host. Unless `is_output_read` is set, the test
+    /// stops reading the gateway's output after the lines that contain its
+    /// addresses.
+    pub fn start_with_output(store: SocketAddr, is_output_read: bool) -> Self {
+        Self::start_on(&Self::new_host_name(), store, is_output_read)
     }
 
-    /// A host's name that no other test of the process has.
-    pub fn new_host() -> String {
-        format!("gateway-{}", unique())
+    /// Returns a host name that is unique within the test process.
+    pub fn new_host_name() -> String {
+        format!("gateway-{}", unique_number())
     }
 
-    /// Starts the process of a host, which may have run one before.
-    pub fn start_on(host: &str, store: SocketAddr, reads_on: bool) -> Self {
-        Self::start_with(host, store, reads_on, "")
+    /// Starts a gateway on a host that may have run a process before.
+    pub fn start_on(host: &str, store: SocketAddr, is_output_read: bool) -> Self {
+        Self::start_with(host, store, is_output_read, "")
     }
 
-    /// Starts the process of a host that grants nothing while the store answers.
+    /// Starts a gateway that holds off: it grants nothing from its escrow slots
+    /// while the store answers.
     pub fn start_holding_off(host: &str, store: SocketAddr) -> Self {
         Self::start_with(host, store, true, "escrow_holds_off = yes\n")
     }
 
-    /// Starts a gateway that answers its peers at an address.
+    /// Starts a gateway that accepts other gateways on a given address.
     pub fn start_at(store: SocketAddr, relay: SocketAddr) -> Self {
         let settings = format!("relay_listen = {relay}\n");
-        Self::start_with(&Self::new_host(), store, true, &settings)
+        Self::start_with(&Self::new_host_name(), store, true, &settings)
     }
 
-    /// Starts a gateway with settings of the section on customers.
+    /// Starts a gateway with the given lines in the `customers` section of its
+    /// settings.
     pub fn start_with_customers(store: SocketAddr, customers: &str) -> Self {
         let settings = format!("[customers]\n{customers}");
-        Self::start_with(&Self::new_host(), store, true, &settings)
-    }
-
-    fn start_with(host: &str, store: SocketAddr, reads_on: bool, more: &str) -> Self {
-        let number = unique();
-        let relay = match more.contains("relay_listen") {
+        Self::start_with(&Self::new_host_name(), store, true, &settings)
+    }
+
+    /// Writes the settings file, starts the process, and waits until it has
+    /// logged its addresses.
+    fn start_with(
+        host: &str,
+        store: SocketAddr,
+        is_output_read: bool,
+        extra_settings: &str,
+    ) -> Self {
+        let number = unique_number();
+        let relay = match extra_settings.contains("relay_listen") {
             true => "",
             false => "relay_listen = 127.0.0.1:0\n",
         };
         let settings = format!(
             "[gateway]\nhost = {host}\navailability_zone = newport-hall\n\
              front_listen = 127.0.0.1:0\nready_listen = 127.0.0.1:0\n\
-             metrics_listen = 127.0.0.1:0\n{relay}stop_grace_s = 8\nretention_margin_ms = 500\n{more}[store]\naddress = {store}\n"
+             metrics_listen = 127.0.0.1:0\n{relay}stop_grace_s = 8\nretention_margin_ms = 500\n{extra_settings}[store]\naddress = {store}\n"
         );
         let name = format!("gateway-{}-{number}.ini", std::process::id());
         let path = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(name);
@@ -360,7 +393,7 @@
             .spawn()
             .unwrap();
         let panics = Arc::new(Mutex::new(Vec::new()));
-        note_panics(child.stderr.take().unwrap(), Arc::clone(&panics));
+        record_panics(child.stderr.take().unwrap(), Arc::clone(&panics));
         let mut output = BufReader::new(child.stdout.take().unwrap());
         let lines = Arc::new(Mutex::new(Vec::new()));
         let mut addresses = Vec::new();
@@ -368,7 +401,7 @@
             let mut line = String::new();
             assert!(
                 output.read_line(&mut line).unwrap() > 0,
-                "the gateway ended"
+                "the gateway exited before it logged its addresses"
             );
             let event: Value = serde_json::from_str(&line).unwrap();
             if event["name"] == "listening" {
@@ -377,21 +410,21 @@
             }
             lines.lock().unwrap().push(line);
         }
-        let of = |whom: &str| addresses.iter().find(|(name, _)| name == whom).unwrap().1;
+        let address_of = |key: &str| addresses.iter().find(|(name, _)| name == key).unwrap().1;
         let gateway = Self {
             child,
-            front: of("callers"),
-            ready: of("balancer"),
-            metrics: of("metrics"),
-            relay: of("peers"),
+            front: address_of("callers"),
+            ready: address_of("balancer"),
+            metrics: address_of("metrics"),
+            relay: address_of("peers"),
             settings: path,
             lines: Arc::clone(&lines),
             panics,
         };
         std::thread::spawn(move || {
-            if !reads_on {
-                // The pipe stays open and is never emptied.
-                std::thread::sleep(PATIENCE);
+            if !is_output_read {
+                // Keeps the pipe open without reading it, so that it fills up.
+                std::thread::sleep(WAIT_TIMEOUT);
             }
             for line in output.lines().map_while(Result::ok) {
                 lines.lock().unwrap().push(line);
@@ -400,7 +433,7 @@
         gateway
     }
 
-    /// Replaces a part of the settings file, all at once.
+    /// Replaces a part of the settings file atomically.
     pub fn change_settings(&self, from: &str, to: &str) {
         let settings = std::fs::read_to_string(&self.settings).unwrap();
         assert!(settings.contains(from), "{settings}");
@@ -410,46 +443,49 @@
     }
 
     pub async fn is_ready(&self) -> bool {
-        Ask::get("/readyz").send(self.ready).await.status == 200
+        TestRequest::get("/readyz").send(self.ready).await.status == 200
     }
 
-    pub async fn until_ready(&self) {
-        until("the gateway is ready", async || self.is_ready().await).await;
+    pub async fn wait_until_ready(&self) {
+        wait_until("the gateway is ready", async || self.is_ready().await).await;
     }
 
-    pub async fn until_unready(&self) {
-        until("the gateway is not ready", async || !self.is_ready().await).await;
+    pub async fn wait_until_not_ready(&self) {
+        wait_until("the gateway is not ready", async || !self.is_ready().await).await;
     }
 
-    /// The value of a metric, zero while it is not on the page.
+    /// Returns the value of a metric, or zero if the metrics page does not
+    /// contain it.
     pub async fn metric(&self, name: &str) -> u64 {
-        let page = Ask::get("/metrics").send(self.metrics).await.body;
+        let page = TestRequest::get("/metrics").send(self.metrics).await.body;
         let prefix = format!("rosebend_gateway_{name} ");
         let value = page.lines().find_map(|line| line.strip_prefix(&prefix));
         value.map_or(0, |value| value.parse().unwrap())
     }
 
-    /// Waits until so many other gateways may pass its calls to the store on.
-    pub async fn until_peers(&self, count: usize) {
+    /// Waits until `count` other gateways are available to forward its calls to
+    /// the store.
+    pub async fn wait_for_peers(&self, count: usize) {
         let line = format!("rosebend_gateway_peers {count}\n");
-        until("the gateway knows its peers", async || {
-            let page = Ask::get("/metrics").send(self.metrics).await.body;
+        wait_until("the gateway has discovered its peers", async || {
+            let page = TestRequest::get("/metrics").send(self.metrics).await.body;
             page.contains(&line)
         })
         .await;
     }
 
-    /// The lines of its log so far.
+    /// Returns the log lines that have been read so far.
     pub fn log(&self) -> Vec<String> {
         self.lines.lock().unwrap().clone()
     }
 
-    /// Its log, which outlasts the process.
+    /// Returns a handle to its log that stays valid after this value is
+    /// dropped.
     pub fn shared_log(&self) -> Arc<Mutex<Vec<String>>> {
         Arc::clone(&self.lines)
     }
 
-    /// The events of its log so far that have a name.
+    /// Returns the log events with the given name that have been read so far.
     pub fn events(&self, name: &str) -> Vec<Value> {
         let lines = self.log();
         let events = lines
@@ -460,17 +496,18 @@
             .collect()
     }
 
-    /// What panicked in it so far; the process may go on without that part.
+    /// Returns the panic messages so far. The process may keep running after
+    /// the panic of a thread or task.
     pub fn panics(&self) -> Vec<String> {
         self.panics.lock().unwrap().clone()
     }
 
-    /// Whether the process has not ended.
+    /// Returns whether the process has not exited.
     pub fn is_running(&mut self) -> bool {
         self.child.try_wait().unwrap().is_none()
     }
 
-    /// Id of the process.
+    /// Returns the operating system's id of the process.
     pub fn id(&self) -> u32 {
         self.child.id()
     }
@@ -486,21 +523,21 @@
         self.child.wait().unwrap();
     }
 
-    /// Waits for the end of the process.
+    /// Waits until the process exits and returns its exit code.
     pub async fn exit_code(&mut self) -> Option<i32> {
-        let until = Instant::now() + PATIENCE;
-        while Instant::now() < until {
+        let deadline = Instant::now() + WAIT_TIMEOUT;
+        while Instant::now() < deadline {
             if let Some(status) = self.child.try_wait().unwrap() {
                 return status.code();
             }
             actix_rt::time::sleep(Duration::from_millis(20)).await;
         }
-        panic!("the gateway did not end");
+        panic!("the gateway did not exit");
     }
 }
 
-/// Passes on what a process writes as errors, and keeps the panics.
-fn note_panics(errors: ChildStderr, panics: Arc<Mutex<Vec<String>>>) {
+/// Forwards the standard error of a process and records its panic messages.
+fn record_panics(errors: ChildStderr, panics: Arc<Mutex<Vec<String>>>) {
     std::thread::spawn(move || {
         for line in BufReader::new(errors).lines().map_while(Result::ok) {
             eprintln!("{line}");
@@ -513,56 +550,56 @@
 
 impl Drop for Gateway {
     fn drop(&mut self) {
-        // It may have ended already.
+        // The process may have exited already, so errors are ignored.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 }
 
-/// Waits until something holds.
-pub async fn until(what: &str, holds: impl AsyncFn() -> bool) {
-    let end = Instant::now() + PATIENCE;
+/// Polls a condition until it holds, and panics after [`WAIT_TIMEOUT`].
+pub async fn wait_until(what: &str, condition: impl AsyncFn() -> bool) {
+    let end = Instant::now() + WAIT_TIMEOUT;
     while Instant::now() < end {
-        if holds().await {
+        if condition().await {
             return;
         }
         actix_rt::time::sleep(Duration::from_millis(10)).await;
     }
-    panic!("waited in vain until {what}");
+    panic!("timed out waiting until {what}");
 }
 
-/// A request of a caller.
+/// A request that a test sends as a caller does.
 #[derive(Clone, Debug)]
-pub struct Ask {
+pub struct TestRequest {
     method: Method,
     path: String,
     headers: Vec<(String, String)>,
     body: String,
 }
 
-/// What a caller gets.
+/// A response as the caller receives it.
 #[derive(Clone, Debug, Default)]
-pub struct Answer {
-    /// Zero when the connection ended without an answer.
+pub struct TestResponse {
+    /// Status code, or zero if the connection ended without a response.
     pub status: u16,
     pub headers: http::HeaderMap,
     pub body: String,
-    /// Whether the body came to its end.
-    pub is_whole: bool,
+    /// Whether the body was received up to its end.
+    pub is_complete: bool,
 }
 
-impl Answer {
+impl TestResponse {
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.get(name)?.to_str().ok()
     }
 
-    /// Seconds of `Retry-After`.
+    /// Returns the seconds of the `Retry-After` header.
     pub fn retry_after_s(&self) -> Option<f64> {
         self.header("retry-after")?.parse().ok()
     }
 }
 
-impl Ask {
+impl TestRequest {
     pub fn new(method: Method, path: &str) -> Self {
         Self {
             method,
@@ -576,12 +613,13 @@
         Self::new(Method::GET, path)
     }
 
-    /// A request that needs nothing of the store.
+    /// Creates an idempotent request, which the gateway serves without the
+    /// store.
     pub fn lookup(attempt: &str) -> Self {
         Self::get("/lookup/x").attempt(attempt)
     }
 
-    /// A turn of a program.
+    /// Creates a turn of a program.
     pub fn turn(attempt: &str, program: &str, input: &str) -> Self {
         Self::new(Method::POST, "/stream/turn")
             .attempt(attempt)
@@ -592,8 +630,8 @@
             .body(input)
     }
 
-    /// The same request on another path.
-    pub fn at(mut self, path: &str) -> Self {
+    /// Sets the path.
+    pub fn at_path(mut self, path: &str) -> Self {
         path.clone_into(&mut self.path);
         self
     }
@@ -606,7 +644,7 @@
         self.header("previous-turn", attempt)
     }
 
-    /// Sets a header.
+    /// Sets a header and replaces a previous value of it.
     pub fn header(mut self, name: &str, value: &str) -> Self {
         self.headers.retain(|(known, _)| known != name);
         self.headers.push((name.to_owned(), value.to_owned()));
@@ -627,35 +665,35 @@
         request.body(body).unwrap()
     }
 
-    /// Sends the request on a connection of its own.
-    pub async fn send(&self, address: SocketAddr) -> Answer {
+    /// Sends the request on a new connection.
+    pub async fn send(&self, address: SocketAddr) -> TestResponse {
         let Ok(mut connection) = Connection::open(address).await else {
-            return Answer::default();
+            return TestResponse::default();
         };
         self.send_on(&mut connection).await
     }
 
-    pub async fn send_on(&self, connection: &mut Connection) -> Answer {
+    pub async fn send_on(&self, connection: &mut Connection) -> TestResponse {
         let Ok(response) = connection.send(self.request()).await else {
-            return Answer::default();
+            return TestResponse::default();
         };
         let (head, mut body) = response.into_parts();
         let mut bytes = Vec::new();
-        let mut is_whole = true;
+        let mut is_complete = true;
         while let Some(frame) = body.frame().await {
             match frame {
                 Ok(frame) => bytes.extend_from_slice(frame.data_ref().unwrap_or(&Bytes::new())),
                 Err(_) => {
-                    is_whole = false;
+                    is_complete = false;
                     break;
                 }
             }
         }
-        Answer {
+        TestResponse {
             status: head.status.as_u16(),
             headers: head.headers,
             body: String::from_utf8_lossy(&bytes).into_owned(),
-            is_whole,
+            is_complete,
         }
     }
 }
--- a/gateway/tests/turns.rs
+++ b/gateway/tests/turns.rs
@@ -9,7 +9,7 @@
 use rosebend_standin::backend::BackendFaults;
 use rosebend_standin::store::StoreFaults;
 use rosebend_transport::connection::Connection;
-use support::{Ask, Gateway, Site, until};
+use support::{Gateway, Site, TestRequest, wait_until};
 
 const MODELS: usize = 0;
 const EVENTS: &str = "id: 0\ndata: word0\n\nid: 1\ndata: word1\n\nid: 2\ndata: word2\n\n";
@@ -20,17 +20,19 @@
 #[actix_rt::test]
 async fn a_turn_gets_all_that_was_said_before() {
     let (site, gateway) = Site::start_with_gateway().await;
-    let first = Ask::turn("t1", "p1", "first|").send(gateway.front).await;
+    let first = TestRequest::turn("t1", "p1", "first|")
+        .send(gateway.front)
+        .await;
     assert_eq!(
-        (first.status, first.body.as_str(), first.is_whole),
+        (first.status, first.body.as_str(), first.is_complete),
         (200, EVENTS, true)
     );
-    let second = Ask::turn("t2", "p1", "second|")
+    let second = TestRequest::turn("t2", "p1", "second|")
         .previous("t1")
         .send(gateway.front)
         .await;
     assert_eq!(second.status, 200);
-    let third = Ask::turn("t3", "p1", "third|")
+    let third = TestRequest::turn("t3", "p1", "third|")
         .previous("t2")
         .send(gateway.front)
         .await;
@@ -42,15 +44,17 @@
 #[actix_rt::test]
 async fn a_program_goes_on_at_another_host_after_its_host_died() {
     let site = Site::start();
-    let mut first = site.ready_gateway().await;
-    Ask::turn("t1", "p1", "first|").send(first.front).await;
-    Ask::turn("t2", "p1", "second|")
+    let mut first = site.start_ready_gateway().await;
+    TestRequest::turn("t1", "p1", "first|")
+        .send(first.front)
+        .await;
+    TestRequest::turn("t2", "p1", "second|")
         .previous("t1")
         .send(first.front)
         .await;
     first.kill();
-    let second = site.ready_gateway().await;
-    let answer = Ask::turn("t3", "p1", "third|")
+    let second = site.start_ready_gateway().await;
+    let answer = TestRequest::turn("t3", "p1", "third|")
         .previous("t2")
         .send(second.front)
         .await;
@@ -62,10 +66,12 @@
 #[actix_rt::test]
 async fn another_program_may_continue_from_a_turn() {
     let site = Site::start();
-    let first = site.ready_gateway().await;
-    Ask::turn("t1", "p1", "first|").send(first.front).await;
-    let second = site.ready_gateway().await;
-    let answer = Ask::turn("u1", "p2", "other|")
+    let first = site.start_ready_gateway().await;
+    TestRequest::turn("t1", "p1", "first|")
+        .send(first.front)
+        .await;
+    let second = site.start_ready_gateway().await;
+    let answer = TestRequest::turn("u1", "p2", "other|")
         .previous("t1")
         .send(second.front)
         .await;
@@ -75,8 +81,8 @@
         format!("first|{OUTPUT}other|")
     );
     // The new program's own turns are found by a third host, across both.
-    let third = site.ready_gateway().await;
-    let answer = Ask::turn("u2", "p2", "more|")
+    let third = site.start_ready_gateway().await;
+    let answer = TestRequest::turn("u2", "p2", "more|")
         .previous("u1")
         .send(third.front)
         .await;
@@ -89,10 +95,12 @@
 async fn long_inputs_are_kept_over_several_rows() {
     let (site, gateway) = Site::start_with_gateway().await;
     let long = "abcdefghij".repeat(9_500);
-    let answer = Ask::turn("t1", "p1", &long).send(gateway.front).await;
+    let answer = TestRequest::turn("t1", "p1", &long)
+        .send(gateway.front)
+        .await;
     assert_eq!(answer.status, 200);
-    let other = site.ready_gateway().await;
-    let answer = Ask::turn("t2", "p1", "next")
+    let other = site.start_ready_gateway().await;
+    let answer = TestRequest::turn("t2", "p1", "next")
         .previous("t1")
         .send(other.front)
         .await;
@@ -106,17 +114,17 @@
 #[actix_rt::test]
 async fn a_turn_that_never_was_is_denied_and_one_in_doubt_is_not() {
     let (site, gateway) = Site::start_with_gateway().await;
-    let unknown = Ask::turn("t9", "p1", "x").previous("never");
+    let unknown = TestRequest::turn("t9", "p1", "x").previous("never");
     assert_eq!(unknown.send(gateway.front).await.status, 404);
     let silent = StoreFaults {
         silent: true,
         ..StoreFaults::default()
     };
-    site.faults(&silent).await;
+    site.set_store_faults(&silent).await;
     let answer = unknown.send(gateway.front).await;
     assert_eq!(answer.status, 503);
     assert!(answer.retry_after_s().is_some());
-    assert_eq!(site.times_run("t9").await, 0);
+    assert_eq!(site.run_count("t9").await, 0);
 }
 
 #[actix_rt::test]
@@ -127,10 +135,12 @@
         delay_ms: 30,
         ..BackendFaults::default()
     };
-    site.endpoint_faults(MODELS, &faults).await;
-    let cut = Ask::turn("t1", "p1", "first|").send(gateway.front).await;
-    assert!(!cut.is_whole);
-    let answer = Ask::turn("t2", "p1", "x")
+    site.set_endpoint_faults(MODELS, &faults).await;
+    let cut = TestRequest::turn("t1", "p1", "first|")
+        .send(gateway.front)
+        .await;
+    assert!(!cut.is_complete);
+    let answer = TestRequest::turn("t2", "p1", "x")
         .previous("t1")
         .send(gateway.front)
         .await;
@@ -140,14 +150,14 @@
 #[actix_rt::test]
 async fn a_program_never_gets_more_than_its_budget() {
     let site = Site::start();
-    let gateways = site.two_ready_gateways().await;
+    let gateways = site.start_two_ready_gateways().await;
     // Each turn may generate 100 tokens, and generates 30.
     let mut served = 0;
     let mut previous: Option<String> = None;
     let mut refused = 0;
     for number in 0..14 {
         let attempt = format!("t{number}");
-        let mut ask = Ask::turn(&attempt, "p1", "x").header("token-budget", "300");
+        let mut ask = TestRequest::turn(&attempt, "p1", "x").header("token-budget", "300");
         if let Some(previous) = &previous {
             ask = ask.previous(previous);
         }
@@ -159,7 +169,7 @@
             }
             402 => {
                 refused += 1;
-                assert_eq!(site.times_run(&attempt).await, 0);
+                assert_eq!(site.run_count(&attempt).await, 0);
             }
             status => panic!("{status}"),
         }
@@ -172,7 +182,7 @@
 /// number of writes so far: where a machine is busy, its answer may be late and the
 /// row is written twice.
 async fn writes_after_its_row(site: &Site, gateway: &Gateway) -> u64 {
-    until("its row is written", async || {
+    wait_until("its row is written", async || {
         gateway.metric(TRANSACTIONS).await == 1
     })
     .await;
@@ -187,15 +197,15 @@
         slow_ms: 100,
         ..StoreFaults::default()
     };
-    site.faults(&slow).await;
+    site.set_store_faults(&slow).await;
     let paced = BackendFaults {
         delay_ms: 300,
         ..BackendFaults::default()
     };
-    site.endpoint_faults(MODELS, &paced).await;
+    site.set_endpoint_faults(MODELS, &paced).await;
     let mut connection = Connection::open(gateway.front).await.unwrap();
     let response = connection
-        .send(Ask::turn("t1", "p1", "x").request())
+        .send(TestRequest::turn("t1", "p1", "x").request())
         .await
         .unwrap();
     let first = response.into_body().frame().await.unwrap().unwrap();
@@ -207,12 +217,13 @@
 async fn a_turn_by_itself_needs_two_writes_and_no_read_where_its_program_was_before() {
     let (site, gateway) = Site::start_with_gateway().await;
     writes_after_its_row(&site, &gateway).await;
-    Ask::turn("t0", "p1", "x").send(gateway.front).await;
+    TestRequest::turn("t0", "p1", "x").send(gateway.front).await;
     const READS: &str = "store_calls_total{call=\"read\",outcome=\"done\"}";
     let reads = gateway.metric(READS).await;
     let before = site.store.stats().transactions;
     for number in 1..5 {
-        let ask = Ask::turn(&format!("t{number}"), "p1", "x").previous(&format!("t{}", number - 1));
+        let ask = TestRequest::turn(&format!("t{number}"), "p1", "x")
+            .previous(&format!("t{}", number - 1));
         assert_eq!(ask.send(gateway.front).await.status, 200);
     }
     assert_eq!(site.store.stats().transactions - before, 4 * 2);
@@ -228,14 +239,14 @@
         slow_ms: 50,
         ..StoreFaults::default()
     };
-    site.faults(&slow).await;
+    site.set_store_faults(&slow).await;
     let before = site.store.stats().transactions;
-    let asks: Vec<Ask> = (0..TURNS)
-        .map(|number| Ask::turn(&format!("t{number}"), &format!("p{number}"), "x"))
+    let asks: Vec<TestRequest> = (0..TURNS)
+        .map(|number| TestRequest::turn(&format!("t{number}"), &format!("p{number}"), "x"))
         .collect();
     let answers = asks.iter().map(|ask| ask.send(gateway.front));
     for answer in futures_util::future::join_all(answers).await {
-        assert_eq!((answer.status, answer.is_whole), (200, true));
+        assert_eq!((answer.status, answer.is_complete), (200, true));
     }
     let writes = site.store.stats().transactions - before;
     assert!(writes <= TURNS, "{writes} writes for {TURNS} turns");
@@ -251,15 +262,15 @@
             lose_calls: (number + 1) % 2,
             ..StoreFaults::default()
         };
-        site.faults(&faults).await;
+        site.set_store_faults(&faults).await;
         let attempt = format!("t{number}");
-        let mut ask = Ask::turn(&attempt, "p1", "x|");
+        let mut ask = TestRequest::turn(&attempt, "p1", "x|");
         if number > 0 {
             ask = ask.previous(&previous);
         }
         let answer = ask.send(gateway.front).await;
         assert_eq!(
-            (answer.status, answer.is_whole),
+            (answer.status, answer.is_complete),
             (200, true),
             "turn {number}"
         );
@@ -271,10 +282,10 @@
 
 /// Lets a gateway wait longer for the store than any test lasts.
 async fn wait_for_ever(site: &Site, gateway: &Gateway) {
-    let address = site.door.address().to_string();
+    let address = site.store_listener.address().to_string();
     gateway.change_settings(&address, &format!("{address}\ntimeout_ms = 60000"));
     gateway.signal("HUP");
-    until("the timeout is in force", async || {
+    wait_until("the timeout is in force", async || {
         !gateway.events("settings-taken").is_empty()
     })
     .await;
@@ -285,19 +296,19 @@
 #[actix_rt::test]
 async fn a_read_whose_answer_does_not_come_is_sent_again_before_its_timeout() {
     let site = Site::start();
-    let [first, second] = site.two_ready_gateways().await;
-    let turn = Ask::turn("t1", "p1", "x").send(first.front).await;
+    let [first, second] = site.start_two_ready_gateways().await;
+    let turn = TestRequest::turn("t1", "p1", "x").send(first.front).await;
     assert_eq!(turn.status, 200);
     wait_for_ever(&site, &second).await;
     let mute = StoreFaults {
         swallow_reads: 2,
         ..StoreFaults::default()
     };
-    site.faults(&mute).await;
-    let next = Ask::turn("t2", "p1", "y").previous("t1");
+    site.set_store_faults(&mute).await;
+    let next = TestRequest::turn("t2", "p1", "y").previous("t1");
     let answer = tokio::time::timeout(Duration::from_secs(20), next.send(second.front)).await;
     let answer = answer.expect("the turn does not wait for the timeout");
-    assert_eq!((answer.status, answer.is_whole), (200, true));
+    assert_eq!((answer.status, answer.is_complete), (200, true));
 }
 
 #[actix_rt::test]
@@ -308,12 +319,12 @@
         swallow_answers: 2,
         ..StoreFaults::default()
     };
-    site.faults(&mute).await;
-    let turn = Ask::turn("t1", "p1", "x");
+    site.set_store_faults(&mute).await;
+    let turn = TestRequest::turn("t1", "p1", "x");
     let answer = tokio::time::timeout(Duration::from_secs(20), turn.send(gateway.front)).await;
     let answer = answer.expect("the turn does not wait for the timeout");
-    assert_eq!((answer.status, answer.is_whole), (200, true));
-    let next = Ask::turn("t2", "p1", "y").previous("t1");
+    assert_eq!((answer.status, answer.is_complete), (200, true));
+    let next = TestRequest::turn("t2", "p1", "y").previous("t1");
     assert_eq!(next.send(gateway.front).await.status, 200);
     assert_eq!(site.store.stats().lost_answers, 2);
 }
@@ -328,31 +339,31 @@
         swallow_answers: 4,
         ..StoreFaults::default()
     };
-    site.faults(&mute).await;
-    let turn = Ask::turn("t1", "p1", "x");
+    site.set_store_faults(&mute).await;
+    let turn = TestRequest::turn("t1", "p1", "x");
     let answer = tokio::time::timeout(Duration::from_secs(20), turn.send(gateway.front)).await;
     let answer = answer.expect("the turn does not wait for the timeout");
-    assert_eq!((answer.status, answer.is_whole), (200, true));
-    let next = Ask::turn("t2", "p1", "y").previous("t1");
+    assert_eq!((answer.status, answer.is_complete), (200, true));
+    let next = TestRequest::turn("t2", "p1", "y").previous("t1");
     assert_eq!(next.send(gateway.front).await.status, 200);
 }
 
 #[actix_rt::test]
 async fn an_outage_refuses_turns_with_a_growing_time_to_come_back() {
     let (site, gateway) = Site::start_with_gateway().await;
-    site.faults(&StoreFaults::refusing()).await;
-    gateway.until_unready().await;
+    site.set_store_faults(&StoreFaults::refusing()).await;
+    gateway.wait_until_not_ready().await;
     actix_rt::time::sleep(Duration::from_millis(1_200)).await;
-    let answer = Ask::turn("t1", "p1", "x").send(gateway.front).await;
+    let answer = TestRequest::turn("t1", "p1", "x").send(gateway.front).await;
     assert_eq!(answer.status, 503);
     assert_eq!(answer.retry_after_s(), Some(1.0));
-    assert_eq!(site.times_run("t1").await, 0);
+    assert_eq!(site.run_count("t1").await, 0);
     // Requests that need nothing of the store go on.
-    let lookup = Ask::lookup("a1").send(gateway.front).await;
+    let lookup = TestRequest::lookup("a1").send(gateway.front).await;
     assert_eq!(lookup.status, 200);
-    site.faults(&StoreFaults::default()).await;
-    gateway.until_ready().await;
-    let answer = Ask::turn("t2", "p1", "x").send(gateway.front).await;
+    site.set_store_faults(&StoreFaults::default()).await;
+    gateway.wait_until_ready().await;
+    let answer = TestRequest::turn("t2", "p1", "x").send(gateway.front).await;
     assert_eq!(answer.status, 200);
 }
 
@@ -363,9 +374,9 @@
         silent: true,
         ..StoreFaults::default()
     };
-    site.faults(&silent).await;
-    gateway.until_unready().await;
-    let answer = Ask::turn("t1", "p1", "x").send(gateway.front).await;
+    site.set_store_faults(&silent).await;
+    gateway.wait_until_not_ready().await;
+    let answer = TestRequest::turn("t1", "p1", "x").send(gateway.front).await;
     assert_eq!(answer.status, 503);
-    assert_eq!(site.times_run("t1").await, 0);
+    assert_eq!(site.run_count("t1").await, 0);
 }
--- a/gateway/tests/wire.rs
+++ b/gateway/tests/wire.rs
@@ -25,7 +25,7 @@
 async fn site() -> (Site, Gateway) {
     let site = Site::without_routes();
     site.store.put("op", "config", &impatient(1));
-    let gateway = site.ready_gateway().await;
+    let gateway = site.start_ready_gateway().await;
     (site, gateway)
 }
 
@@ -146,8 +146,8 @@
     let both = "content-length: 4\r\ntransfer-encoding: chunked";
     let answer = ask(&gateway, &post("b1", both, &format!("0\r\n\r\n{inner}"))).await;
     assert_eq!(statuses(&answer), ["400"], "{answer}");
-    assert_eq!(site.times_run("inner").await, 0);
-    assert_eq!(site.times_run("outer").await, 1);
+    assert_eq!(site.run_count("inner").await, 0);
+    assert_eq!(site.run_count("outer").await, 1);
 }
 
 #[actix_rt::test]
