--- a/gateway/tests/overload.rs
+++ b/gateway/tests/overload.rs
@@ -1,5 +1,5 @@
-//! Engines with queues: new programs are told to come back, and those under way go
-//! on.
+//! Tests of overload control: while an engine's responses are slow because of
+//! its queue, a gateway refuses new programs and serves programs in progress.
 
 mod support;
 
@@ -18,42 +18,43 @@
 }
 
 #[actix_rt::test]
-async fn new_programs_wait_while_first_bytes_are_late() {
+async fn new_programs_are_refused_while_the_engine_is_slow() {
     let (site, gateway) = Site::start_with_gateway().await;
     for number in 0..5 {
         let answer = program(number).send(gateway.front).await;
         assert_eq!(answer.status, 200);
     }
-    let late = BackendFaults {
+    let slow = BackendFaults {
         delay_ms: 400,
         events: 5,
         ..BackendFaults::default()
     };
-    site.set_endpoint_faults(MODELS, &late).await;
+    site.set_endpoint_faults(MODELS, &slow).await;
     let front = gateway.front;
-    let begun = (10..40).map(move |number| async move { program(number).send(front).await });
-    let begun = actix_rt::spawn(join_all(begun));
-    let tries = Cell::new(100);
+    let new_programs = (10..40).map(move |number| async move { program(number).send(front).await });
+    let new_programs = actix_rt::spawn(join_all(new_programs));
+    let next_number = Cell::new(100);
     wait_until("a new program is refused", async || {
-        let number = tries.replace(tries.get() + 1);
+        let number = next_number.replace(next_number.get() + 1);
         let mut connection = Connection::open(front).await.unwrap();
         let request = program(number).request();
         let response = connection.send(request).await.unwrap();
         response.status() == 503
     })
     .await;
-    let refused = format!("t{}", tries.get() - 1);
+    let refused = format!("t{}", next_number.get() - 1);
     assert_eq!(site.run_count(&refused).await, 0);
     let ended = gateway.events("request-ended");
     let ended = ended.iter().find(|event| event["attempt"] == *refused);
     assert_eq!(ended.unwrap()["reason"], "overloaded");
-    for answer in begun.await.unwrap() {
+    for answer in new_programs.await.unwrap() {
         assert_eq!((answer.status, answer.is_complete), (200, true));
     }
-    // A program that is under way goes on.
+    // A program in progress is still served.
     let next = TestRequest::turn("next", "p10", "x").previous("t10");
     assert_eq!(next.send(gateway.front).await.status, 200);
-    // Nobody was heard of for a while, and the engine is quick again.
+    // The estimate of the engine's queue decays without new measurements, so
+    // new programs are accepted again once the engine responds quickly.
     site.set_endpoint_faults(MODELS, &BackendFaults::default())
         .await;
     actix_rt::time::sleep(Duration::from_secs(3)).await;
@@ -61,37 +62,43 @@
 }
 
 #[actix_rt::test]
-async fn a_program_without_history_is_new_until_it_was_served() {
-    let unkept = |attempt: &str, program: &str| {
+async fn a_program_without_history_is_new_until_its_first_completed_turn() {
+    let without_history = |attempt: &str, program: &str| {
         TestRequest::turn(attempt, program, "x").at_path("/unkept/stream/turn")
     };
     let (site, gateway) = Site::start_with_gateway().await;
     for number in 0..5 {
-        let answer = unkept(&format!("t{number}"), "p").send(gateway.front).await;
+        let answer = without_history(&format!("t{number}"), "p")
+            .send(gateway.front)
+            .await;
         assert_eq!(answer.status, 200);
     }
-    let late = BackendFaults {
+    let slow = BackendFaults {
         delay_ms: 400,
         events: 5,
         ..BackendFaults::default()
     };
-    site.set_endpoint_faults(MODELS, &late).await;
+    site.set_endpoint_faults(MODELS, &slow).await;
     let front = gateway.front;
-    let begun = (10..40).map(move |number| async move {
+    let new_programs = (10..40).map(move |number| async move {
         let name = number.to_string();
         TestRequest::turn(&name, &name, "x").send(front).await
     });
-    let begun = actix_rt::spawn(join_all(begun));
-    let tries = Cell::new(100);
+    let new_programs = actix_rt::spawn(join_all(new_programs));
+    let next_number = Cell::new(100);
     wait_until("a new program is refused", async || {
-        let number = tries.replace(tries.get() + 1).to_string();
+        let number = next_number.replace(next_number.get() + 1).to_string();
         let mut connection = Connection::open(front).await.unwrap();
-        let request = unkept(&number, &number).request();
+        let request = without_history(&number, &number).request();
         let response = connection.send(request).await.unwrap();
         response.status() == 503
     })
     .await;
-    let next = unkept("next", "p").send(front).await;
-    assert_eq!(next.status, 200, "it is under way: {}", next.body);
-    begun.await.unwrap();
+    let next = without_history("next", "p").send(front).await;
+    assert_eq!(
+        next.status, 200,
+        "a program in progress was refused: {}",
+        next.body
+    );
+    new_programs.await.unwrap();
 }
--- a/gateway/tests/starts.rs
+++ b/gateway/tests/starts.rs
@@ -1,4 +1,6 @@
-//! Endpoints that start again under the id that they had.
+//! Tests of endpoints that restart under the same id: a gateway must not send
+//! requests to a previous start, reuse its connections, or attribute its state
+//! to the new start.
 
 mod support;
 
@@ -14,47 +16,49 @@
 const MODELS: usize = 0;
 const DESK: usize = 1;
 
-/// Waits until a gateway has listed some starts that followed others.
-async fn until_started_again(gateway: &Gateway, times: usize) {
-    wait_until("the new start is listed", async || {
+/// Waits until a gateway has listed the given number of restarts.
+async fn wait_until_restarted(gateway: &Gateway, expected_count: usize) {
+    wait_until("the restart is listed", async || {
         let listed = gateway.events("endpoint-listed");
-        let again = listed
+        let restarts = listed
             .iter()
             .filter(|event| event["reason"] == "started-again");
-        again.count() == times
+        restarts.count() == expected_count
     })
     .await;
 }
 
-fn entry(service: &str, address: SocketAddr, born_ms: u64) -> serde_json::Value {
+/// Returns the entry of an endpoint that started at the given time.
+fn entry(service: &str, address: SocketAddr, started_ms: u64) -> serde_json::Value {
     json!({
         "service": service, "address": address.to_string(), "zone": "newport-hall",
         "version": "v1", "slots": 8, "state": "ready", "cold-left-ms": 0, "seq": 1,
-        "born": born_ms,
+        "born": started_ms,
     })
 }
 
-/// A start that takes one request and breaks off its answer when told to.
-struct Doomed {
+/// An endpoint that accepts one request and closes the connection without a
+/// response when the test triggers its crash.
+struct CrashingEndpoint {
     address: SocketAddr,
     crash: mpsc::Sender<()>,
     has_request: mpsc::Receiver<()>,
     thread: JoinHandle<()>,
 }
 
-impl Doomed {
+impl CrashingEndpoint {
     fn start() -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
-        let (crash, told) = mpsc::channel();
-        let (took, has_request) = mpsc::channel();
+        let (crash, crash_signal) = mpsc::channel();
+        let (request_received, has_request) = mpsc::channel();
         let thread = std::thread::spawn(move || {
             let (mut connection, _) = listener.accept().unwrap();
             let mut bytes = [0; 16];
             connection.read_exact(&mut bytes).unwrap();
-            took.send(()).unwrap();
-            // The test may have failed and gone.
-            let _ = told.recv();
+            request_received.send(()).unwrap();
+            // Receiving fails if the test has failed and dropped the sender.
+            let _ = crash_signal.recv();
         });
         Self {
             address,
@@ -64,90 +68,94 @@
         }
     }
 
-    async fn until_asked(&self) {
-        wait_until("the first start has the request", async || {
+    /// Waits until the endpoint has received a request.
+    async fn wait_for_request(&self) {
+        wait_until("the endpoint has received the request", async || {
             self.has_request.try_recv().is_ok()
         })
         .await;
     }
 
+    /// Closes the connection of the request.
     fn crash(self) {
         self.crash.send(()).unwrap();
         self.thread.join().unwrap();
     }
 }
 
-/// A site whose desk is a start that is going to crash, and a gateway.
-async fn doomed_desk() -> (Site, Gateway, Doomed) {
+/// Starts a site whose `desk` endpoint is a [`CrashingEndpoint`], and a
+/// gateway.
+async fn start_with_crashing_endpoint() -> (Site, Gateway, CrashingEndpoint) {
     let mut site = Site::start();
-    let doomed = Doomed::start();
+    let crashing = CrashingEndpoint::start();
     let instance = site.endpoints[DESK].instance.clone();
     site.endpoints[DESK].started_ms = Some(FIRST_START_MS + 1);
     site.store.put(
         "servers",
         &instance,
-        &entry("desk", doomed.address, FIRST_START_MS + 1),
+        &entry("desk", crashing.address, FIRST_START_MS + 1),
     );
     let gateway = site.start_gateway();
     gateway.wait_until_ready().await;
-    (site, gateway, doomed)
+    (site, gateway, crashing)
 }
 
 #[actix_rt::test]
-async fn a_request_that_an_earlier_start_had_is_unknown_and_not_run_again() {
-    let (mut site, gateway, doomed) = doomed_desk().await;
+async fn a_request_sent_before_a_restart_has_an_unknown_outcome_and_is_not_repeated() {
+    let (mut site, gateway, crashing) = start_with_crashing_endpoint().await;
     let fee = |attempt: &str| {
         TestRequest::new(Method::POST, "/fee/receipt")
             .attempt(attempt)
             .body("fee 12")
     };
     let front = gateway.front;
-    let ask = fee("a1");
-    let asked = actix_rt::spawn(async move { ask.send(front).await });
-    doomed.until_asked().await;
+    let request = fee("a1");
+    let response = actix_rt::spawn(async move { request.send(front).await });
+    crashing.wait_for_request().await;
     site.restart_endpoint(DESK);
-    until_started_again(&gateway, 1).await;
-    doomed.crash();
-    assert_eq!(asked.await.unwrap().status, 502);
+    wait_until_restarted(&gateway, 1).await;
+    crashing.crash();
+    assert_eq!(response.await.unwrap().status, 502);
     assert_eq!(site.runs(DESK).await.len(), 0);
-    // The fault was the earlier start's.
+    // The failure of the previous start must not count against the new one.
     assert!(gateway.events("endpoint-avoided").is_empty());
     assert_eq!(fee("a2").send(gateway.front).await.status, 200);
 }
 
 #[actix_rt::test]
-async fn a_request_that_may_run_twice_goes_to_the_new_start() {
-    let (mut site, gateway, doomed) = doomed_desk().await;
+async fn a_repeatable_request_is_retried_at_the_restarted_endpoint() {
+    let (mut site, gateway, crashing) = start_with_crashing_endpoint().await;
     let front = gateway.front;
-    let ask = TestRequest::get("/lookup/x").attempt("a1");
-    let asked = actix_rt::spawn(async move { ask.send(front).await });
-    doomed.until_asked().await;
+    let request = TestRequest::get("/lookup/x").attempt("a1");
+    let response = actix_rt::spawn(async move { request.send(front).await });
+    crashing.wait_for_request().await;
     site.restart_endpoint(DESK);
-    until_started_again(&gateway, 1).await;
-    doomed.crash();
-    assert_eq!(asked.await.unwrap().status, 200);
+    wait_until_restarted(&gateway, 1).await;
+    crashing.crash();
+    assert_eq!(response.await.unwrap().status, 200);
     assert_eq!(site.runs(DESK).await["a1"].count, 1);
 }
 
 #[actix_rt::test]
-async fn a_new_start_is_sent_nothing_on_connections_of_the_one_before() {
+async fn connections_to_a_previous_start_are_not_reused() {
     let mut site = Site::start();
     let gateways = [site.start_gateway(), site.start_gateway()];
     for gateway in &gateways {
         gateway.wait_until_ready().await;
         for number in 0..4 {
-            let ask = TestRequest::get("/lookup/x").attempt(&format!("a{number}"));
-            assert_eq!(ask.send(gateway.front).await.status, 200);
+            let request = TestRequest::get("/lookup/x").attempt(&format!("a{number}"));
+            assert_eq!(request.send(gateway.front).await.status, 200);
         }
     }
-    // Two starts within one heartbeat: nobody sees the first of them.
+    // The endpoint restarts twice within one heartbeat interval, so the
+    // gateways never observe the first restart.
     site.restart_endpoint(DESK);
     site.restart_endpoint(DESK);
     for gateway in &gateways {
-        until_started_again(gateway, 1).await;
+        wait_until_restarted(gateway, 1).await;
         for number in 0..4 {
-            let ask = TestRequest::get("/lookup/x").attempt(&format!("b{number}"));
-            assert_eq!(ask.send(gateway.front).await.status, 200);
+            let request = TestRequest::get("/lookup/x").attempt(&format!("b{number}"));
+            assert_eq!(request.send(gateway.front).await.status, 200);
         }
     }
     assert_eq!(site.runs(DESK).await.len(), 4);
@@ -156,12 +164,12 @@
 }
 
 #[actix_rt::test]
-async fn an_entry_of_an_earlier_start_that_comes_late_changes_nothing() {
+async fn a_late_entry_of_a_previous_start_is_ignored() {
     let mut site = Site::start();
     let gateway = site.start_gateway();
     gateway.wait_until_ready().await;
     site.restart_endpoint(DESK);
-    until_started_again(&gateway, 1).await;
+    wait_until_restarted(&gateway, 1).await;
     let earlier = site.endpoints[DESK].previous_servers[0].address();
     let instance = site.endpoints[DESK].instance.clone();
     site.store.put(
@@ -169,28 +177,30 @@
         &instance,
         &entry("desk", earlier, FIRST_START_MS),
     );
-    // The next endpoint's entry comes after it.
+    // The entry of another endpoint follows the late one, so both are read once
+    // it is listed.
     site.add_endpoint("models");
     wait_until("the later entry is read", async || {
         let listed = gateway.events("endpoint-listed");
         listed.iter().any(|event| event["endpoint"] == "i-models-2")
     })
     .await;
-    let ask = TestRequest::get("/lookup/x").attempt("a1");
-    assert_eq!(ask.send(gateway.front).await.status, 200);
+    let request = TestRequest::get("/lookup/x").attempt("a1");
+    assert_eq!(request.send(gateway.front).await.status, 200);
     assert!(site.runs(DESK).await.contains_key("a1"));
 }
 
 #[actix_rt::test]
-async fn a_turn_is_not_thought_warm_at_a_later_start() {
+async fn a_restart_clears_the_record_of_warm_prompts() {
     let mut site = Site::start();
     let gateway = site.start_gateway();
     gateway.wait_until_ready().await;
-    // A prompt that is worth a detour.
+    // The prompt is long enough that the gateway prefers the endpoint that has
+    // it cached.
     let first = TestRequest::turn("t0", "p1", "a").header("token-counts", "5000,10");
     assert_eq!(first.send(gateway.front).await.status, 200);
     let other = site.add_endpoint("models");
-    wait_until("the other is listed", async || {
+    wait_until("the second models endpoint is listed", async || {
         gateway.events("endpoint-listed").len() == 3
     })
     .await;
@@ -204,10 +214,11 @@
     };
     turns("t1").await;
     assert_eq!(site.runs(other).await.len(), 0);
-    // The new start is slow at first, which a warm prompt would outweigh.
+    // The restarted endpoint announces a slow start. The gateway would still
+    // choose it if it assumed that the prompt is cached there.
     site.endpoints[MODELS].cold_left_ms = 60_000;
     site.restart_endpoint(MODELS);
-    until_started_again(&gateway, 1).await;
+    wait_until_restarted(&gateway, 1).await;
     turns("t2").await;
     assert_eq!(site.runs(other).await.len(), 8);
 }
