--- a/coordination/src/gateway.rs
+++ b/coordination/src/gateway.rs
@@ -17,8 +17,8 @@
 //! | The tokens that a program has spent, and those that its turns may spend | [`ledger`] | `spending` and `recall`, by [`pending_changes`] |
 //! | The tokens that programs may spend while the store is unavailable | [`escrow`] | `spending`, by `escrow` |
 //! | The changes of programs that are committed in one transaction | [`pending_changes`] | `commits` |
-//! | The transactions of several hosts that are batched into one | [`group_commit`] | `joined_commits` |
-//! | The host that batches the transactions of a partition | [`batchers`] | `joined_commits` |
+//! | The transactions of several hosts that are batched into one | [`group_commit`] | `batched_commits` |
+//! | The host that batches the transactions of a partition | [`batchers`] | `batched_commits` |
 //! | The hosts that are in backoff because they did not respond | [`host_backoff`] | [`batchers`], [`follow_tree`] |
 //! | The source from which a host reads a table: the store or another host | [`follow_tree`] | `feeds` |
 //! | The cached rows of a table, and the changes that are sent to followers | [`replica`] | `feeds` |
--- a/gateway/src/joined_commits/ask.rs
+++ b/gateway/src/batched_commits/ask.rs
@@ -1,4 +1,5 @@
-//! How one gateway asks another to commit for it, and how that one answers.
+//! Requests by which one gateway asks another to commit a transaction, and their
+//! answers.
 
 use std::cell::Cell;
 use std::convert::Infallible;
@@ -21,78 +22,82 @@
 use crate::gateway::Gateway;
 use crate::peer_connections::{PeerConnections, PeerError};
 
-/// Path under which a gateway takes transactions of others. It lies beside the
-/// calls to the store that peers pass on, whose paths have one segment.
+/// Path at which a gateway accepts transactions of others. It has two segments and so
+/// differs from the paths of relayed calls to the store, which have one.
 pub const PATH: &str = "/peer/commit";
 
-/// Why a gatherer did not say how a transaction ended.
+/// A failure to get the outcome of a transaction from a batcher.
 #[derive(Debug, thiserror::Error)]
 pub enum AskError {
-    /// It did not answer.
+    /// The batcher did not answer.
     #[error(transparent)]
     Peer(#[from] PeerError),
-    /// The answer is none.
-    #[error("the gatherer's answer is none: {0}")]
+    /// The answer cannot be decoded.
+    #[error("malformed answer of the batcher: {0}")]
     Malformed(#[from] CommitError),
 }
 
 impl AskError {
-    /// Word for logs.
-    pub const fn word(&self) -> &'static str {
+    /// Returns the value of the `reason` field in the log.
+    pub const fn as_str(&self) -> &'static str {
         match self {
-            Self::Peer(error) => error.word(),
+            Self::Peer(error) => error.as_str(),
             Self::Malformed(_) => "malformed",
         }
     }
 }
 
-/// Asks a gateway to commit a transaction. `accepted` is set once it says that it
-/// has it.
+/// Asks a gateway to commit a transaction. `accepted` is set once the gateway
+/// acknowledges it.
 ///
 /// # Errors
 ///
-/// Tells why nothing is known of the transaction.
+/// Returns an error if the outcome of the transaction is unknown.
 pub async fn ask(
     connections: &PeerConnections,
-    gatherer: &PeerHost<SocketAddr>,
+    batcher: &PeerHost<SocketAddr>,
     transaction: &Transaction,
     accepted: &Cell<bool>,
 ) -> Result<Committed, AskError> {
-    let question = encode_request(&gatherer.process, transaction);
-    let answer = connections.ask(gatherer.address, PATH, question, accepted);
+    let payload = encode_request(&batcher.process, transaction);
+    let answer = connections.ask(batcher.address, PATH, payload, accepted);
     Ok(decode_committed(&answer.await?)?)
 }
 
-/// Why a message asks for nothing that is done for it.
+/// A request that this process refuses.
 #[derive(Debug, thiserror::Error)]
-enum MessageError {
+enum RequestError {
     #[error(transparent)]
     Malformed(#[from] CommitError),
-    #[error("partition {0} holds no programs")]
+    #[error("partition {0} does not contain programs")]
     Partition(String),
-    #[error("{0} is asked, which does not run here")]
-    OtherRun(String),
+    #[error("the request is addressed to process {0}, which is not this one")]
+    OtherProcess(String),
 }
 
-/// The transaction that this process is asked for. One that is meant for another
-/// is not committed: it may be of other hosts with another store.
-fn read(message: &[u8], own_run: &ProcessId) -> Result<Transaction, MessageError> {
+/// Decodes a request and returns its transaction. A transaction that is addressed to
+/// another process is refused, because it may come from another deployment, which has
+/// another store.
+fn decode_transaction(
+    message: &[u8],
+    own_process: &ProcessId,
+) -> Result<Transaction, RequestError> {
     let request = decode_request(message)?;
     let transaction = request.transaction;
     let partition = transaction.rows().next().map(|row| row.partition.clone());
     let partition = partition.unwrap_or_default();
     if !partitions().any(|known| known == partition) {
-        return Err(MessageError::Partition(partition));
+        return Err(RequestError::Partition(partition));
     }
-    match request.asked_run == *own_run {
+    match request.asked_run == *own_process {
         true => Ok(transaction),
-        false => Err(MessageError::OtherRun(request.asked_run)),
+        false => Err(RequestError::OtherProcess(request.asked_run)),
     }
 }
 
-/// Answers a gateway that asks for a transaction.
+/// Answers a gateway that asks this one to commit a transaction.
 pub fn answer(gateway: &Rc<Gateway>, message: &[u8]) -> Response<BoxBody> {
-    let transaction = match read(message, gateway.commits.holder()) {
+    let transaction = match decode_transaction(message, gateway.commits.process_id()) {
         Ok(transaction) => transaction,
         Err(error) => {
             gateway.metrics.count_refused_commit();
@@ -101,14 +106,14 @@
         }
     };
     if gateway.store.is_direct_down() {
-        // Its sender may reach the store, or knows others.
+        // The sender may reach the store itself or through another batcher.
         let body = Bytes::from(encode_committed(&Committed::Refused));
         return Response::with_body(StatusCode::OK, body.boxed());
     }
     let commits = Rc::clone(&gateway.joined_commits);
     let store = Rc::clone(&gateway.store);
     let outcome = async move {
-        let outcome = commits.join(transaction).await;
+        let outcome = commits.batch(transaction).await;
         let committed = committed(outcome, !store.is_direct_down());
         Ok::<_, Infallible>(Bytes::from(encode_committed(&committed)))
     };
--- a/gateway/src/commits.rs
+++ b/gateway/src/commits.rs
@@ -1,5 +1,5 @@
-//! Changes of programs on their way to the store, one transaction at a time for
-//! each partition.
+//! Sends the changes of programs to the store, in one transaction at a time for each
+//! partition.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -15,50 +15,54 @@
 use rosebend_transport::store::{StoreClient, StoreError, Transacted};
 use tokio::sync::oneshot;
 
-use crate::joined_commits::JoinedCommits;
+use crate::batched_commits::BatchedCommits;
 
-/// Pause before a transaction is sent again that was not applied, or of which
-/// that is not known. Each failure in a row doubles it.
-const FIRST_PAUSE: Duration = Duration::from_millis(40);
-/// Longest such pause: the store's return must be noticed soon.
-const MAX_PAUSE: Duration = Duration::from_millis(320);
-/// How long a change that nobody waits for may wait for another one to go with. A
-/// program's next turn that comes to another host counts this one at its most until
-/// then.
-const LATER: Duration = Duration::from_millis(300);
+/// Delay before a transaction is sent again that was not applied or whose outcome is
+/// unknown. Each failure in a row doubles it.
+const INITIAL_RETRY_DELAY: Duration = Duration::from_millis(40);
+/// Maximum retry delay, so that commits resume soon after the store recovers.
+const MAX_RETRY_DELAY: Duration = Duration::from_millis(320);
+/// Maximum time for which a deferred change waits for another change of its partition.
+/// Until it is committed, the program's next turn at another host counts this turn's
+/// maximum output tokens instead of the tokens that it spent.
+const MAX_DEFERRAL: Duration = Duration::from_millis(300);
 
+/// The changes of one partition.
 #[derive(Debug)]
 struct Partition {
     changes: PendingChanges,
     waiters: HashMap<ChangeId, oneshot::Sender<Outcome>>,
+    /// Whether a task is running that sends the changes of the partition.
     is_sending: bool,
-    /// Whether a change waits for another one to go with.
-    is_put_off: bool,
+    /// Whether a deferred change waits for another change.
+    is_deferred: bool,
 }
 
-/// The changes of this host with those who wait for them.
+/// The changes of programs that this host commits, and the callers that wait for their
+/// outcomes.
 #[derive(Debug)]
 pub struct Commits {
-    /// This run of the process, under which turns reserve tokens.
-    holder: ProcessId,
+    /// The identifier of this process, under which its turns reserve tokens.
+    process_id: ProcessId,
     store: Rc<StoreClient>,
-    joined: Rc<JoinedCommits>,
+    batched: Rc<BatchedCommits>,
     partitions: RefCell<HashMap<String, Partition>>,
 }
 
 impl Commits {
-    /// No changes yet. The holder tells in ledgers whose turns run.
-    pub fn new(holder: ProcessId, store: Rc<StoreClient>, joined: Rc<JoinedCommits>) -> Self {
+    /// Returns an instance without changes. Ledgers record the reservations of this
+    /// process under `process_id`.
+    pub fn new(process_id: ProcessId, store: Rc<StoreClient>, batched: Rc<BatchedCommits>) -> Self {
         Self {
-            holder,
+            process_id,
             store,
-            joined,
+            batched,
             partitions: RefCell::default(),
         }
     }
 
-    /// Adds a change of a program. The receiver hears how it ended; dropping
-    /// the receiver does not take the change back.
+    /// Adds a change of a program. Returns a receiver for its outcome; dropping the
+    /// receiver does not cancel the change.
     pub fn submit(
         self: &Rc<Self>,
         program: ProgramKey,
@@ -69,7 +73,7 @@
         {
             let mut partitions = self.partitions.borrow_mut();
             let partition = partitions.entry(name.clone());
-            let partition = partition.or_insert_with(|| Partition::new(&self.holder));
+            let partition = partition.or_insert_with(|| Partition::new(&self.process_id));
             let id = partition.changes.submit(program, change);
             partition.waiters.insert(id, waiter);
         }
@@ -77,32 +81,32 @@
         outcome
     }
 
-    /// Adds a change that nobody waits for. It goes with the next one of its
-    /// partition, and a little later by itself.
-    pub fn submit_later(self: &Rc<Self>, program: ProgramKey, change: Change) {
+    /// Adds a change for whose outcome no caller waits. It is sent together with the next
+    /// change of its partition, or by itself after [`MAX_DEFERRAL`].
+    pub fn submit_deferred(self: &Rc<Self>, program: ProgramKey, change: Change) {
         let name = partition_of(&program);
         let mut partitions = self.partitions.borrow_mut();
         let partition = partitions.entry(name.clone());
-        let partition = partition.or_insert_with(|| Partition::new(&self.holder));
+        let partition = partition.or_insert_with(|| Partition::new(&self.process_id));
         partition.changes.submit(program, change);
-        if partition.is_sending || partition.is_put_off {
+        if partition.is_sending || partition.is_deferred {
             return;
         }
-        partition.is_put_off = true;
+        partition.is_deferred = true;
         let commits = Rc::clone(self);
         actix_rt::spawn(async move {
-            tokio::time::sleep(LATER).await;
+            tokio::time::sleep(MAX_DEFERRAL).await;
             commits.send(&name);
         });
     }
 
-    /// Sends what waits for another change of a program's partition to go with.
-    pub fn send_put_off(self: &Rc<Self>, program: &str) {
+    /// Sends the deferred changes of a program's partition.
+    pub fn send_deferred(self: &Rc<Self>, program: &str) {
         self.send(&partition_of(program));
     }
 
-    /// Sends all that waits for another change to go with.
-    pub fn send_all_put_off(self: &Rc<Self>) {
+    /// Sends the deferred changes of all partitions.
+    pub fn send_all_deferred(self: &Rc<Self>) {
         let names: Vec<String> = self.partitions.borrow().keys().cloned().collect();
         for name in names {
             self.send(&name);
@@ -114,66 +118,73 @@
         let Some(partition) = partitions.get_mut(name) else {
             return;
         };
-        partition.is_put_off = false;
+        partition.is_deferred = false;
         if !partition.is_sending && partition.changes.open_changes() > 0 {
             partition.is_sending = true;
-            actix_rt::spawn(Rc::clone(self).send_waiting(name.to_owned()));
+            actix_rt::spawn(Rc::clone(self).send_pending(name.to_owned()));
         }
     }
 
-    /// Takes note of a ledger that was read.
-    pub fn learn(&self, program: &str, version: RowVersion, ledger: Ledger) {
+    /// Caches a ledger that was read, unless a newer one is cached.
+    pub fn cache(&self, program: &str, version: RowVersion, ledger: Ledger) {
         self.with_changes(program, |changes| changes.cache(program, version, ledger));
     }
 
-    /// The program's ledger as it was last read or written here, as a row.
-    pub fn known_ledger(&self, program: &str) -> Option<Row> {
+    /// Returns the row of the program's cached ledger, if the store has such a row.
+    pub fn cached_ledger_row(&self, program: &str) -> Option<Row> {
         self.with_changes(program, |changes| changes.cached_ledger_row(program))
     }
 
-    /// Version of the program's ledger as it was last read or written here.
-    pub fn version(&self, program: &str) -> RowVersion {
+    /// Returns the version of the program's cached ledger, or zero if none is cached.
+    pub fn cached_version(&self, program: &str) -> RowVersion {
         self.with_changes(program, |changes| changes.cached_version(program))
     }
 
-    /// Forgets a program; its ledger is read again when it is needed.
-    pub fn forget(&self, program: &str) {
+    /// Evicts a program's ledger from the cache, unless changes of the program are pending.
+    /// It is read again when it is needed.
+    pub fn evict(&self, program: &str) {
         self.with_changes(program, |changes| changes.evict(program));
     }
 
-    /// Whether the program's ledger was read or written by this host.
-    pub fn knows(&self, program: &str) -> bool {
+    /// Returns whether the program's ledger is cached.
+    pub fn has_cached_ledger(&self, program: &str) -> bool {
         self.with_changes(program, |changes| changes.has_cached_ledger(program))
     }
 
-    /// This run of the process.
-    pub fn holder(&self) -> &ProcessId {
-        &self.holder
+    /// Returns the identifier of this process.
+    pub fn process_id(&self) -> &ProcessId {
+        &self.process_id
     }
 
-    /// Who holds tokens of a program, as far as this host knows.
-    pub fn holdings(&self, program: &str) -> Vec<ProcessReservations> {
+    /// Returns the turns with a reservation in the program's expected ledger, which is the
+    /// cached ledger with all pending changes applied, grouped by process.
+    pub fn reservations_by_process(&self, program: &str) -> Vec<ProcessReservations> {
         self.with_changes(program, |changes| changes.reservations_by_process(program))
     }
 
-    /// Whether a turn that has tokens runs here.
+    /// Returns whether a turn runs in this process and has requested or holds tokens.
     pub fn is_running(&self, program: &str, attempt: &AttemptId) -> bool {
         self.with_changes(program, |changes| changes.is_running(attempt))
     }
 
-    /// Whether the budget seems to hold a turn, as far as this host knows.
-    pub fn seems_to_hold(&self, program: &str, most_tokens: u64, budget_tokens: u64) -> bool {
+    /// Returns whether the budget has room for a turn in the program's expected ledger.
+    pub fn is_expected_to_fit(
+        &self,
+        program: &str,
+        max_output_tokens: u64,
+        budget_tokens: u64,
+    ) -> bool {
         self.with_changes(program, |changes| {
-            changes.is_expected_to_fit(program, most_tokens, budget_tokens)
+            changes.is_expected_to_fit(program, max_output_tokens, budget_tokens)
         })
     }
 
-    /// What fills a program's budget, as far as this host knows.
+    /// Returns the tokens that count against the budget in the program's expected ledger.
     pub fn account(&self, program: &str) -> Account {
         self.with_changes(program, |changes| changes.account(program))
     }
 
-    /// Changes whose outcome is open.
+    /// Returns the number of pending changes of all partitions, queued or in flight.
     pub fn open_changes(&self) -> usize {
         let partitions = self.partitions.borrow();
         let changes = partitions.values().map(|partition| &partition.changes);
@@ -183,72 +194,72 @@
     fn with_changes<T>(&self, program: &str, act: impl FnOnce(&mut PendingChanges) -> T) -> T {
         let mut partitions = self.partitions.borrow_mut();
         let partition = partitions.entry(partition_of(program));
-        let partition = partition.or_insert_with(|| Partition::new(&self.holder));
+        let partition = partition.or_insert_with(|| Partition::new(&self.process_id));
         act(&mut partition.changes)
     }
 
-    async fn send_waiting(self: Rc<Self>, name: String) {
-        let mut pause = FIRST_PAUSE;
+    async fn send_pending(self: Rc<Self>, name: String) {
+        let mut delay = INITIAL_RETRY_DELAY;
         while let Some(transaction) = self.next_transaction(&name) {
-            let answer = match self.joined.transact(&transaction).await {
+            let answer = match self.batched.transact(&transaction).await {
                 Ok(Transacted::Applied(version)) => Answer::Applied(version),
                 Ok(Transacted::Conflict(rows)) => Answer::Conflict(rows),
                 Err(error) => {
-                    self.wait_after(&error, &mut pause).await;
+                    self.back_off(&error, &mut delay).await;
                     Answer::NotKnown
                 }
             };
             if answer != Answer::NotKnown {
-                pause = FIRST_PAUSE;
+                delay = INITIAL_RETRY_DELAY;
             }
-            self.answered(&name, answer);
+            self.record_answer(&name, answer);
         }
     }
 
-    async fn wait_after(&self, error: &StoreError, pause: &mut Duration) {
-        // Nothing is gained by waiting after a long wait for an answer.
+    async fn back_off(&self, error: &StoreError, delay: &mut Duration) {
+        // After a long wait for an answer, a longer delay would not help.
         if matches!(error, StoreError::Refused | StoreError::Throttled)
-            || self.store.unreachable_for() < *pause
+            || self.store.unreachable_for() < *delay
         {
-            tokio::time::sleep(*pause).await;
+            tokio::time::sleep(*delay).await;
         } else {
-            tokio::time::sleep(FIRST_PAUSE).await;
+            tokio::time::sleep(INITIAL_RETRY_DELAY).await;
         }
-        *pause = (*pause * 2).min(MAX_PAUSE);
+        *delay = (*delay * 2).min(MAX_RETRY_DELAY);
     }
 
     fn next_transaction(&self, name: &str) -> Option<Transaction> {
         let mut partitions = self.partitions.borrow_mut();
         let partition = partitions.get_mut(name)?;
         let (transaction, ended) = partition.changes.next_transaction();
-        partition.tell(ended);
+        partition.notify_waiters(ended);
         partition.is_sending = transaction.is_some();
         transaction
     }
 
-    fn answered(&self, name: &str, answer: Answer) {
+    fn record_answer(&self, name: &str, answer: Answer) {
         let mut partitions = self.partitions.borrow_mut();
         if let Some(partition) = partitions.get_mut(name) {
             let ended = partition.changes.handle_answer(answer);
-            partition.tell(ended);
+            partition.notify_waiters(ended);
         }
     }
 }
 
 impl Partition {
-    fn new(holder: &ProcessId) -> Self {
+    fn new(process_id: &ProcessId) -> Self {
         Self {
-            changes: PendingChanges::new(holder.clone()),
+            changes: PendingChanges::new(process_id.clone()),
             waiters: HashMap::new(),
             is_sending: false,
-            is_put_off: false,
+            is_deferred: false,
         }
     }
 
-    fn tell(&mut self, ended: Vec<(ChangeId, Outcome)>) {
+    fn notify_waiters(&mut self, ended: Vec<(ChangeId, Outcome)>) {
         for (id, outcome) in ended {
             if let Some(waiter) = self.waiters.remove(&id) {
-                // Who asked may have gone; the change is durable all the same.
+                // The caller may have been cancelled; the change is durable nevertheless.
                 let _ = waiter.send(outcome);
             }
         }
--- a/gateway/src/escrow/hold_off.rs
+++ b/gateway/src/escrow/hold_off.rs
@@ -238,7 +238,7 @@
     let present = gateway.store.read_row(&row).await?;
     let version = present.map_or(0, |row| row.version);
     let transaction = Transaction::default().expect(row.clone(), version);
-    let transaction = transaction.write(row, gateway.commits.holder().clone().into_bytes());
+    let transaction = transaction.write(row, gateway.commits.process_id().clone().into_bytes());
     Ok(match gateway.store.transact(&transaction).await? {
         Transacted::Applied(version) => Some(version),
         Transacted::Conflict(_) => None,
--- a/gateway/src/feeds/ask.rs
+++ b/gateway/src/feeds/ask.rs
@@ -41,7 +41,7 @@
     /// Word for logs.
     pub(super) const fn word(&self) -> &'static str {
         match self {
-            Self::Peer(error) => error.word(),
+            Self::Peer(error) => error.as_str(),
             Self::Malformed(_) => "malformed",
             Self::Silent => "silent",
         }
--- a/gateway/src/feeds/serve.rs
+++ b/gateway/src/feeds/serve.rs
@@ -45,7 +45,7 @@
 
 /// Answers a gateway that follows a table here.
 pub fn answer(gateway: &Gateway, message: &[u8]) -> Response<BoxBody> {
-    let (table, request) = match read(message, gateway.commits.holder()) {
+    let (table, request) = match read(message, gateway.commits.process_id()) {
         Ok(asked) => asked,
         Err(error) => {
             log_event(&Event::new(EventKind::PeerRefused).error(&error));
--- a/gateway/src/gateway.rs
+++ b/gateway/src/gateway.rs
@@ -20,11 +20,11 @@
 use rosebend_transport::store::StoreClient;
 use rosebend_util::random_id;
 
+use crate::batched_commits::BatchedCommits;
 use crate::commits::Commits;
 use crate::escrow::Escrow;
 use crate::feeds::{Feeds, FollowedTable};
 use crate::holders::HolderAddresses;
-use crate::joined_commits::JoinedCommits;
 use crate::limits::Limits;
 use crate::metrics::{Metrics, Quantities};
 use crate::pool::Pool;
@@ -54,7 +54,7 @@
     /// What changes in the store's tables.
     pub feeds: Rc<Feeds>,
     /// Transactions on their way to the store, and those joined for other hosts.
-    pub joined_commits: Rc<JoinedCommits>,
+    pub joined_commits: Rc<BatchedCommits>,
     /// Changes of programs on their way to the store.
     pub commits: Rc<Commits>,
     /// Routes in force; none before the first was read.
@@ -100,7 +100,7 @@
         // Tokens that one run of the process reserved are not the next one's.
         let run = format!("{}/{}", settings.host, random_id());
         let joined_commits =
-            JoinedCommits::new(run.clone(), Rc::clone(&store), Rc::clone(&metrics), clock);
+            BatchedCommits::new(run.clone(), Rc::clone(&store), Rc::clone(&metrics), clock);
         joined_commits.set_writes_per_s(settings.store.writes_per_s);
         let joined_commits = Rc::new(joined_commits);
         let commits = Commits::new(run.clone(), Rc::clone(&store), Rc::clone(&joined_commits));
@@ -273,8 +273,8 @@
             store_unreachable_ms: whole_ms(self.store.unreachable_for()),
             ready: u64::from(self.readiness().is_ok()),
             peers: self.store.peer_addresses().len() as u64,
-            open_parts: self.joined_commits.open_parts() as u64,
-            oldest_part_ms: whole_ms(self.joined_commits.oldest_part()),
+            open_parts: self.joined_commits.open_entry_count() as u64,
+            oldest_part_ms: whole_ms(self.joined_commits.oldest_entry_age()),
             escrow_slots: self.escrow.held_slots(),
             escrow_owned_slots: self.escrow.owned_slots(),
             escrow_outstanding_tokens: self.escrow.outstanding_tokens(),
--- a/gateway/src/lib.rs
+++ b/gateway/src/lib.rs
@@ -6,7 +6,7 @@
 //! | a request, step by step | [`front`], [`dispatch`], [`intake`], [`plain`] or [`turn`], [`exchange`], [`pool`]; all work on a [`call`] |
 //! | a turn's budget, and its answer on the way | [`spending`], [`escrow`], [`recall`], [`holders`], [`turn_stream`], [`runs`] |
 //! | whose a request is, and how much its customer may send | [`intake`], [`limits`] |
-//! | what lasts | [`commits`], [`joined_commits`], [`programs`], [`recent_history`], [`retention`] |
+//! | what lasts | [`commits`], [`batched_commits`], [`programs`], [`recent_history`], [`retention`] |
 //! | what the process believes of routes and endpoints | [`watch`], [`unusable`], [`entries`], [`gossip`], [`quarantine`] |
 //! | from whom it learns what changes in the store's tables | [`feeds`] |
 //! | calls to the store by other gateways, and questions to them | [`peers`], [`peer_connections`] |
@@ -18,6 +18,7 @@
 //! `rosebend_platform`, connections and the client of the store in
 //! `rosebend_transport`.
 
+pub mod batched_commits;
 pub mod call;
 pub mod commits;
 pub mod dispatch;
@@ -30,7 +31,6 @@
 pub mod gossip;
 pub mod holders;
 pub mod intake;
-pub mod joined_commits;
 pub mod limits;
 pub mod metrics;
 pub mod peer_connections;
--- a/gateway/src/peer_connections.rs
+++ b/gateway/src/peer_connections.rs
@@ -1,7 +1,8 @@
-//! Questions to other gateways by HTTP, on connections that are kept.
+//! Requests to other gateways by HTTP, on persistent connections.
 //!
-//! The head of an answer is sent once the question was read, and its body once it is
-//! complete, which distinguishes a host that is gone or frozen from one that waits.
+//! A gateway sends the head of its response as soon as it has read the request, and the
+//! body once the answer is complete. This distinguishes a host that is down or frozen
+//! from one that still works on the answer.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -12,29 +13,31 @@
 use http_body_util::{BodyExt, Full, Limited};
 use rosebend_transport::connection::{Connection, ConnectionError};
 
-/// Largest answer that is read: a whole table that another host follows.
+/// Maximum size of an answer in bytes. The largest is a whole table, which is sent to a
+/// host that follows it.
 const MAX_ANSWER_BYTES: usize = 4 << 20;
-/// Idle connections to one host that are kept. A host has one transaction of a
-/// partition on its way, and few hosts gather more than two partitions.
+/// Maximum number of idle connections to one host. A host has one transaction of each
+/// partition in flight, and few hosts are the batcher of more than two partitions.
 const MAX_IDLE: usize = 4;
 
-/// Why another gateway did not answer.
+/// A failure to get an answer from another gateway.
 #[derive(Debug, thiserror::Error)]
 pub enum PeerError {
-    /// Nothing was sent, or it broke off.
-    #[error("no connection to the gateway: {0}")]
+    /// The connection could not be opened, or it failed before the response began.
+    #[error("connection to the gateway failed: {0}")]
     Connection(#[from] ConnectionError),
-    /// It took the question and broke off.
-    #[error("the gateway's answer broke off")]
+    /// The gateway accepted the request, but the body of its response is incomplete or
+    /// too large.
+    #[error("the body of the gateway's response is incomplete or too large")]
     Broken,
-    /// It does not take the question.
-    #[error("the gateway refuses the question with status {0}")]
+    /// The gateway refused the request with this status.
+    #[error("the gateway refused the request with status {0}")]
     Refused(u16),
 }
 
 impl PeerError {
-    /// Word for logs.
-    pub const fn word(&self) -> &'static str {
+    /// Returns the value of the `reason` field in the log.
+    pub const fn as_str(&self) -> &'static str {
         match self {
             Self::Connection(_) => "unreachable",
             Self::Broken => "broken",
@@ -43,32 +46,34 @@
     }
 }
 
-/// Connections to other gateways that are not in use.
+/// The idle connections to other gateways.
 #[derive(Debug, Default)]
 pub struct PeerConnections {
     idle: RefCell<HashMap<SocketAddr, Vec<Connection>>>,
 }
 
 impl PeerConnections {
-    /// Asks a gateway. `accepted` is set once it says that it has the question.
+    /// Sends a request to a gateway and returns the body of its response. `accepted` is
+    /// set once the gateway acknowledges the request.
     ///
     /// # Errors
     ///
-    /// Tells why there is no answer.
+    /// Returns an error if the gateway cannot be reached, refuses the request or does not
+    /// complete its response.
     pub async fn ask(
         &self,
         address: SocketAddr,
         path: &'static str,
-        question: Vec<u8>,
+        payload: Vec<u8>,
         accepted: &Cell<bool>,
     ) -> Result<Bytes, PeerError> {
         let request = Request::builder()
             .method(Method::POST)
             .uri(path)
             .header(http::header::HOST, address.to_string())
-            .body(Full::new(Bytes::from(question)))
+            .body(Full::new(Bytes::from(payload)))
             .expect("a path and an address are valid");
-        let mut connection = match self.take(address) {
+        let mut connection = match self.take_idle(address) {
             Some(connection) => connection,
             None => Connection::open(address).await?,
         };
@@ -79,11 +84,11 @@
         accepted.set(true);
         let body = Limited::new(response.into_body(), MAX_ANSWER_BYTES).collect();
         let body = body.await.map_err(|_| PeerError::Broken)?;
-        self.keep(address, connection);
+        self.put_idle(address, connection);
         Ok(body.to_bytes())
     }
 
-    fn take(&self, address: SocketAddr) -> Option<Connection> {
+    fn take_idle(&self, address: SocketAddr) -> Option<Connection> {
         let mut idle = self.idle.borrow_mut();
         let idle = idle.get_mut(&address)?;
         while let Some(connection) = idle.pop() {
@@ -94,7 +99,7 @@
         None
     }
 
-    fn keep(&self, address: SocketAddr, connection: Connection) {
+    fn put_idle(&self, address: SocketAddr, connection: Connection) {
         let mut idle = self.idle.borrow_mut();
         let idle = idle.entry(address).or_default();
         if idle.len() < MAX_IDLE {
@@ -102,9 +107,9 @@
         }
     }
 
-    /// Drops connections to hosts that are not there any more.
-    pub fn retain(&self, is_there: impl Fn(&SocketAddr) -> bool) {
+    /// Closes the connections to addresses for which `is_listed` returns false.
+    pub fn retain(&self, is_listed: impl Fn(&SocketAddr) -> bool) {
         let mut idle = self.idle.borrow_mut();
-        idle.retain(|address, _| is_there(address));
+        idle.retain(|address, _| is_listed(address));
     }
 }
--- a/gateway/src/peers.rs
+++ b/gateway/src/peers.rs
@@ -24,7 +24,7 @@
 use self::table::PeerTable;
 use crate::feeds::{self, Followed, FollowedTable};
 use crate::gateway::Gateway;
-use crate::{joined_commits, recall, recent_history};
+use crate::{batched_commits, recall, recent_history};
 
 mod row;
 mod table;
@@ -61,7 +61,7 @@
                     take(&gateway, &mut table, &followed);
                 }
                 // A late write of the host's last run may have replaced it.
-                is_written &= table.has(gateway.commits.holder());
+                is_written &= table.has(gateway.commits.process_id());
                 if has_changed && followed.is_from_store {
                     tokio::time::sleep(FollowedTable::Gateways.store_pause()).await;
                 }
@@ -125,7 +125,7 @@
         host,
         availability_zone: Some(gateway.settings().availability_zone.clone()),
         relay,
-        holder: gateway.commits.holder().clone(),
+        holder: gateway.commits.process_id().clone(),
         processor_milli: gateway.settings().processor_milli,
         fences_escrow: true,
     };
@@ -191,7 +191,7 @@
     Ok(match path.as_str() {
         recall::PATH => recall::answer(&gateway, &outgoing.body),
         feeds::PATH => feeds::answer(&gateway, &outgoing.body),
-        joined_commits::PATH => joined_commits::answer(&gateway, &outgoing.body),
+        batched_commits::PATH => batched_commits::answer(&gateway, &outgoing.body),
         recent_history::ASK_PATH => recent_history::answer(&gateway, &outgoing.body),
         recent_history::KEEP_PATH => recent_history::answer_keep(&gateway, &outgoing.body),
         // Its sender is of another site, perhaps, and has another store.
@@ -207,7 +207,7 @@
 /// Whether a call names another run than this process. Hosts of earlier versions name none.
 fn is_for_another(gateway: &Gateway, request: &Request) -> bool {
     let asked = request.headers().get(ASKED_RUN.as_str());
-    asked.is_some_and(|asked| asked.as_bytes() != gateway.commits.holder().as_bytes())
+    asked.is_some_and(|asked| asked.as_bytes() != gateway.commits.process_id().as_bytes())
 }
 
 async fn answer(gateway: &Gateway, outgoing: &Outgoing) -> (u16, Bytes) {
--- a/gateway/src/process.rs
+++ b/gateway/src/process.rs
@@ -113,7 +113,7 @@
     let end = gateway.clock.now() + grace;
     let open = gateway.open_requests();
     log_event(&Event::new(EventKind::ProcessStopping).count(open));
-    gateway.commits.send_all_put_off();
+    gateway.commits.send_all_deferred();
     escrow::giving_up::begin(gateway);
     release_slots(gateway).await;
     tokio::time::sleep(ACCEPT_AFTER_SIGNAL.min(grace)).await;
--- a/gateway/src/programs.rs
+++ b/gateway/src/programs.rs
@@ -39,7 +39,7 @@
     };
     let cached = gateway.history.borrow().get(previous);
     if cached.is_some() {
-        if !gateway.commits.knows(&header.program) {
+        if !gateway.commits.has_cached_ledger(&header.program) {
             refresh_ledger(gateway, &header.program).await?;
         }
         found("memory");
@@ -79,7 +79,7 @@
         None => (0, Ok(Ledger::default())),
     };
     let ledger = ledger.map_err(|error| unreadable(gateway, program, &error))?;
-    gateway.commits.learn(program, version, ledger);
+    gateway.commits.cache(program, version, ledger);
     Ok(())
 }
 
@@ -92,7 +92,7 @@
     let turn = turn.ok()?;
     if stored.ledger_version > 0 {
         let version = stored.ledger_version;
-        gateway.commits.learn(program, version, stored.ledger);
+        gateway.commits.cache(program, version, stored.ledger);
     }
     remember(gateway, &turn);
     Some(turn)
@@ -110,7 +110,7 @@
     let stored = stored.map_err(|error| unreadable(gateway, program, &error))?;
     gateway
         .commits
-        .learn(program, stored.ledger_version, stored.ledger.clone());
+        .cache(program, stored.ledger_version, stored.ledger.clone());
     if !stored.has_turn(attempt) {
         return Ok(None);
     }
--- a/gateway/src/recall.rs
+++ b/gateway/src/recall.rs
@@ -98,8 +98,8 @@
     trail: &Trail,
 ) -> Result<Recalled, Refusal> {
     let began = gateway.clock.now();
-    let holdings = gateway.commits.holdings(program);
-    let version = gateway.commits.version(program);
+    let holdings = gateway.commits.reservations_by_process(program);
+    let version = gateway.commits.cached_version(program);
     let asked = holdings
         .iter()
         .map(|holding| ask(gateway, program, holding));
@@ -134,7 +134,7 @@
         holder: holding.process.clone(),
         turns: holding.turns.clone(),
     };
-    if holding.process == *gateway.commits.holder() {
+    if holding.process == *gateway.commits.process_id() {
         return Ok(found(holding, &state(gateway, &question)));
     }
     let Some(address) = address_of(gateway, &holding.process).await? else {
@@ -214,10 +214,10 @@
     let running = turns.filter(|attempt| commits.is_running(&question.program, attempt));
     let running: Vec<AttemptId> = running.cloned().collect();
     if running.len() < question.turns.len() {
-        commits.send_put_off(&question.program);
+        commits.send_deferred(&question.program);
     }
     Statement {
-        holder: commits.holder().clone(),
+        holder: commits.process_id().clone(),
         running,
     }
 }
--- a/gateway/src/recent_history.rs
+++ b/gateway/src/recent_history.rs
@@ -182,11 +182,11 @@
 ) -> Result<bool, KeeperError> {
     let recent = &gateway.recent_history;
     let row_bytes = gateway.settings().store.row_bytes / 4 * 3;
-    let version = gateway.commits.version(&newest.program);
+    let version = gateway.commits.cached_version(&newest.program);
     let mut previous = String::new();
     let mut rows: Vec<Row> = gateway
         .commits
-        .known_ledger(&newest.program)
+        .cached_ledger_row(&newest.program)
         .into_iter()
         .collect();
     for turn in turns {
@@ -227,7 +227,7 @@
 /// Answers a gateway that asks for a program's history.
 pub fn answer(gateway: &Gateway, message: &[u8]) -> Response<BoxBody> {
     match decode_request(message) {
-        Ok(request) if request.asked_run == *gateway.commits.holder() => {
+        Ok(request) if request.asked_run == *gateway.commits.process_id() => {
             let programs = gateway.recent_history.programs.borrow();
             respond(encode_rows(&programs.rows(&request.program)))
         }
@@ -240,7 +240,7 @@
 /// Answers a gateway that has history kept.
 pub fn answer_keep(gateway: &Gateway, message: &[u8]) -> Response<BoxBody> {
     match decode_keep(message) {
-        Ok(request) if request.asked_run == *gateway.commits.holder() => {
+        Ok(request) if request.asked_run == *gateway.commits.process_id() => {
             respond(encode_kept(gateway.recent_history.take(request)))
         }
         // Its sender may be of another site.
--- a/gateway/src/retention.rs
+++ b/gateway/src/retention.rs
@@ -91,14 +91,14 @@
     };
     match gateway.joined_commits.transact(&transaction).await {
         Ok(Transacted::Applied(_)) => {
-            gateway.commits.forget(program);
+            gateway.commits.evict(program);
             delete_rest(gateway, program).await;
         }
         Ok(Transacted::Conflict(rows)) => match rows.first() {
             Some(row) => wait_again(gateway, program, row.version),
             // Another host has deleted the ledger: the program is over.
             None => {
-                gateway.commits.forget(program);
+                gateway.commits.evict(program);
                 delete_rest(gateway, program).await;
             }
         },
--- a/gateway/src/spending.rs
+++ b/gateway/src/spending.rs
@@ -109,10 +109,10 @@
         // A turn that continues from a kept one has brought its ledger along, and
         // one that continues from none begins its program. Without history
         // nothing tells whether a program that is new here has spent its budget.
-        let is_known = call.route.keeps_history || commits.knows(&self.program);
+        let is_known = call.route.keeps_history || commits.has_cached_ledger(&self.program);
         let partition = partition_of(&self.program);
         let is_doubted = self.gateway.store.is_partition_doubted(&partition);
-        let is_held = commits.seems_to_hold(&self.program, in_hand, self.budget_tokens);
+        let is_held = commits.is_expected_to_fit(&self.program, in_hand, self.budget_tokens);
         is_known && !is_doubted && is_held
     }
 
@@ -318,7 +318,7 @@
         };
         self.gateway
             .commits
-            .submit_later(self.program.clone(), change);
+            .submit_deferred(self.program.clone(), change);
     }
 
     fn settle_grant(&self, grant: Grant) {
--- a/gateway/src/spending/full_budget.rs
+++ b/gateway/src/spending/full_budget.rs
@@ -56,7 +56,7 @@
             }
             let is_over = self.gateway.clock.now() >= until;
             // Holders of a newer ledger were not asked yet.
-            let is_newer = self.gateway.commits.version(&self.program) != recalled.version;
+            let is_newer = self.gateway.commits.cached_version(&self.program) != recalled.version;
             match recalled.is_settling || is_closing || is_newer {
                 true if is_over => {
                     self.is_settled = true;
--- a/gateway/src/turn.rs
+++ b/gateway/src/turn.rs
@@ -89,7 +89,7 @@
         return call.begins_program();
     }
     let program = spender(call);
-    program.is_some_and(|program| !gateway.commits.knows(&program.program))
+    program.is_some_and(|program| !gateway.commits.has_cached_ledger(&program.program))
 }
 
 /// The beginning of the turn's record, where the route keeps history.
--- a/gateway/src/turn_stream.rs
+++ b/gateway/src/turn_stream.rs
@@ -281,7 +281,7 @@
 
     /// Takes note of the turn's rows, to delete them with the ledger one day.
     fn keep(&self, program: &str, rows: Vec<RowId>, retention: Duration) {
-        let version = self.gateway.commits.version(program);
+        let version = self.gateway.commits.cached_version(program);
         let retention = retention + self.gateway.settings().retention_margin;
         let now = self.gateway.clock.now();
         self.gateway
--- a/gateway/tests/soak.rs
+++ b/gateway/tests/soak.rs
@@ -47,7 +47,7 @@
 /// - 733: turns that had been answered whole were denied, while other fleets ran
 ///   on the machine: the address of a gatherer that had died was a host's of
 ///   another fleet by then, which committed to its own store; see
-///   `joined_commits.rs`.
+///   `batched_commits.rs`.
 /// - 1002: a program without history could not go on: hosts that stopped as planned had
 ///   named successors for their escrow slots that had stopped before, and its ledger
 ///   withheld what these may have granted; see `gateway_escrow.rs`.
