--- a/gateway/src/programs.rs
+++ b/gateway/src/programs.rs
@@ -1,4 +1,5 @@
-//! The history of programs: from memory where it is, else from the store.
+//! Lookup of the turns that programs continue from: in memory, at the host of the
+//! availability zone that caches the program, and in the store, in this order.
 
 use std::sync::Arc;
 
@@ -17,18 +18,19 @@
 use crate::recent_history;
 use crate::reply::Refusal;
 
-/// The turn that a program's next one continues from; none at its start.
+/// Returns the turn that a program's next turn continues from, or `None` if the
+/// next turn is the first.
 ///
 /// # Errors
 ///
-/// Says that there is no such turn only when the store has been asked
-/// everywhere; a store out of reach is reported as such.
+/// Reports that the turn does not exist only if every partition of the store was
+/// read without finding it. An unreachable store is reported as such.
 pub async fn previous_turn(
     gateway: &Gateway,
     call: &Call,
     header: &ProgramHeader,
 ) -> Result<Option<Arc<Turn>>, Refusal> {
-    let found = |place| {
+    let record_found = |place| {
         gateway.metrics.count_history_read(place);
         let elapsed = call.elapsed(gateway.clock.now());
         let event = Event::new(EventKind::HistoryRead).reason(place);
@@ -42,34 +44,34 @@
         if !gateway.commits.has_cached_ledger(&header.program) {
             refresh_ledger(gateway, &header.program).await?;
         }
-        found("memory");
+        record_found("memory");
         return Ok(cached);
     }
-    if let Some(turn) = recent_turn(gateway, &header.program, previous).await {
-        found("keeper");
+    if let Some(turn) = turn_from_zone(gateway, &header.program, previous).await {
+        record_found("keeper");
         return Ok(Some(turn));
     }
     if let Some(turn) = read_turn(gateway, &header.program, previous).await? {
-        found("store");
+        record_found("store");
         return Ok(Some(turn));
     }
     let Some(program) = find_program(gateway, previous).await? else {
         return Err(Refusal::NoSuchTurn);
     };
     let turn = read_turn(gateway, &program, previous).await?;
-    found("other-program");
-    // The index names it, so it exists; it cannot be denied.
+    record_found("other-program");
+    // The index contains the turn, so it exists and must not be reported as missing.
     turn.map(Some).ok_or_else(|| gateway.store_unreachable())
 }
 
-/// Reads the ledger of a program anew.
+/// Reads the ledger of a program from the store into the cache.
 ///
 /// # Errors
 ///
-/// Fails when the store is out of reach.
+/// Returns an error if the store is unreachable or the ledger cannot be decoded.
 pub async fn refresh_ledger(gateway: &Gateway, program: &str) -> Result<(), Refusal> {
     let rows = gateway.store.read(&ledger_range(program)).await;
-    // The client has logged how the call failed.
+    // The client has already logged the error.
     let rows = rows.map_err(|_: StoreError| gateway.program_unreachable(program))?;
     let id = ledger_row(program);
     let row = rows.rows.iter().find(|row| row.id == id);
@@ -83,9 +85,9 @@
     Ok(())
 }
 
-/// A turn of a program as its keeper in the availability zone has it; none where it or one
-/// before it is missing there.
-async fn recent_turn(gateway: &Gateway, program: &str, attempt: &str) -> Option<Arc<Turn>> {
+/// Returns a turn of a program from the host of the availability zone that caches it, or
+/// `None` if that host lacks the turn or one of its predecessors.
+async fn turn_from_zone(gateway: &Gateway, program: &str, attempt: &str) -> Option<Arc<Turn>> {
     let rows = recent_history::rows(gateway, program).await;
     let stored = StoredProgram::from_rows(program, &rows).ok()?;
     let turn = stored.turn(program, attempt, &gateway.history.borrow());
@@ -94,17 +96,19 @@
         let version = stored.ledger_version;
         gateway.commits.cache(program, version, stored.ledger);
     }
-    remember(gateway, &turn);
+    cache_chain(gateway, &turn);
     Some(turn)
 }
 
+/// Reads a turn of a program from the store, or returns `None` if the program has no such
+/// turn.
 async fn read_turn(
     gateway: &Gateway,
     program: &str,
     attempt: &str,
 ) -> Result<Option<Arc<Turn>>, Refusal> {
     let rows = gateway.store.read(&program_range(program)).await;
-    // The client has logged how the call failed.
+    // The client has already logged the error.
     let rows = rows.map_err(|_: StoreError| gateway.program_unreachable(program))?;
     let stored = StoredProgram::from_rows(program, &rows.rows);
     let stored = stored.map_err(|error| unreadable(gateway, program, &error))?;
@@ -114,15 +118,16 @@
     if !stored.has_turn(attempt) {
         return Ok(None);
     }
-    // A program that continues from another one's turn has a copy of that chain,
-    // so its own rows are all that is needed.
+    // A program that continues from another program's turn has a copy of that chain,
+    // so the rows of other programs are not needed.
     let turn = stored.turn(program, attempt, &gateway.history.borrow());
     let turn = turn.map_err(|error| unreadable(gateway, program, &error))?;
-    remember(gateway, &turn);
+    cache_chain(gateway, &turn);
     Ok(Some(turn))
 }
 
-fn remember(gateway: &Gateway, turn: &Arc<Turn>) {
+/// Adds a turn and its predecessors to the history in memory.
+fn cache_chain(gateway: &Gateway, turn: &Arc<Turn>) {
     let mut history = gateway.history.borrow_mut();
     let chain = std::iter::successors(Some(turn), |turn| turn.previous.as_ref());
     for turn in chain {
@@ -130,8 +135,8 @@
     }
 }
 
-/// The program that a turn belongs to, by its index row, which lies in the
-/// partition of that program.
+/// Returns the program that a turn belongs to, according to the turn's index row. The
+/// row is in the partition of that program, so all partitions are read.
 async fn find_program(gateway: &Gateway, attempt: &str) -> Result<Option<String>, Refusal> {
     let ranges: Vec<_> = partitions()
         .map(|partition| index_range(partition, attempt))
@@ -141,7 +146,7 @@
         let rows = rows.map_err(|error| unreachable(gateway, &error))?;
         let row = rows.rows.iter().find(|row| row.id.key == attempt);
         if let Some(row) = row {
-            // A row that names no program is no proof that the turn never was.
+            // A row that cannot be decoded does not prove that the turn does not exist.
             let program = indexed_program(row);
             return program.map(Some).ok_or_else(|| {
                 let event = Event::new(EventKind::RecordUnreadable);
@@ -153,14 +158,15 @@
     Ok(None)
 }
 
-/// Refuses a program whose rows cannot be read; they may be readable to others.
+/// Refuses a program whose rows cannot be decoded, with a temporary error: hosts of
+/// another version may be able to decode them.
 fn unreadable(gateway: &Gateway, program: &str, error: &dyn std::error::Error) -> Refusal {
     let event = Event::new(EventKind::RecordUnreadable);
     log_event(&event.program_key(program).error(error));
     gateway.store_unreachable()
 }
 
-/// The client has logged how the call failed.
+/// Returns the refusal for an unreachable store. The client has already logged the error.
 fn unreachable(gateway: &Gateway, _error: &StoreError) -> Refusal {
     gateway.store_unreachable()
 }
--- a/gateway/src/recent_history.rs
+++ b/gateway/src/recent_history.rs
@@ -1,9 +1,10 @@
-//! History of programs that hosts of an availability zone keep for each other.
+//! A cache of recent program history that the hosts of an availability zone share.
 //!
-//! A host that has made a turn durable tells it to the keeper of its program in the zone, and
-//! one that needs a turn which it does not have asks there first. That saves a read of the
-//! store for nearly every turn that comes to another host than the one before. The store is
-//! asked where the keeper does not know the turn, or says nothing in time.
+//! In each zone, one host caches the history of a program. A host that has made a turn
+//! durable sends it to the caching host, and a host that needs a turn which it does not have
+//! reads it from there first. This saves a read of the store for nearly every turn that
+//! arrives at another host than its predecessor. The turn is read from the store if the
+//! caching host does not have it or does not answer in time.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -30,156 +31,168 @@
 use crate::gateway::Gateway;
 use crate::peer_connections::{PeerConnections, PeerError};
 
-/// Path of questions for a program's history. It lies beside the calls to the store that
-/// peers pass on, whose paths have one segment.
+/// Path of requests for a program's history. It has two segments and so differs from the
+/// paths of relayed calls to the store, which have one.
 pub const ASK_PATH: &str = "/peer/recent";
-/// Path of history that is to be kept.
+/// Path of requests to cache history.
 pub const KEEP_PATH: &str = "/peer/keep";
-/// How long a keeper may take to answer, before the store is asked instead.
+/// Timeout for the answer of a caching host, after which the store is read instead.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(20);
-/// How long it may take to say that it keeps what it was told; nobody waits for that.
+/// Timeout for the acknowledgement that history was cached. No request waits for it.
 const KEEP_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// What this host keeps, and the hosts of its availability zone.
+/// The history that this host caches, and the hosts of its availability zone.
 #[derive(Debug)]
 pub struct RecentHistory {
-    own_run: ProcessId,
+    own_process: ProcessId,
     hosts: RefCell<Vec<PeerHost<SocketAddr>>>,
-    avoidance: RefCell<HostBackoff>,
-    programs: RefCell<RecentPrograms>,
+    backoff: RefCell<HostBackoff>,
+    cache: RefCell<RecentPrograms>,
     connections: PeerConnections,
 }
 
-/// Why a keeper told nothing.
+/// A failure to get an answer from a caching host.
 #[derive(Debug, thiserror::Error)]
-enum KeeperError {
+enum CachingHostError {
     #[error(transparent)]
     Peer(#[from] PeerError),
-    #[error("the keeper's answer is none: {0}")]
+    #[error("malformed answer of the host that caches the history: {0}")]
     Malformed(#[from] RecentError),
-    #[error("the keeper did not answer in time")]
-    Late(#[from] tokio::time::error::Elapsed),
+    #[error("the host that caches the history did not answer in time")]
+    Timeout(#[from] tokio::time::error::Elapsed),
 }
 
 impl RecentHistory {
-    /// Nothing kept, and no other host known.
-    pub fn new(own_run: ProcessId) -> Self {
+    /// Returns an empty cache that has no list of other hosts yet.
+    pub fn new(own_process: ProcessId) -> Self {
         Self {
-            own_run,
+            own_process,
             hosts: RefCell::default(),
-            avoidance: RefCell::default(),
-            programs: RefCell::default(),
+            backoff: RefCell::default(),
+            cache: RefCell::default(),
             connections: PeerConnections::default(),
         }
     }
 
-    /// Takes the hosts of the availability zone, this one among them.
+    /// Replaces the list of the availability zone's hosts, which includes this one.
     pub fn set_hosts(&self, hosts: Vec<PeerHost<SocketAddr>>) {
         let hosts = high_cpu_hosts(hosts);
-        let is_there = |address: &SocketAddr| hosts.iter().any(|host| host.address == *address);
-        self.connections.retain(is_there);
-        let mut avoidance = self.avoidance.borrow_mut();
-        avoidance.retain(|host| hosts.iter().any(|known| known.host == *host));
+        let is_listed = |address: &SocketAddr| hosts.iter().any(|host| host.address == *address);
+        self.connections.retain(is_listed);
+        let mut backoff = self.backoff.borrow_mut();
+        backoff.retain(|host| hosts.iter().any(|known| known.host == *host));
         self.hosts.replace(hosts);
     }
 
-    /// Who keeps a program, unless no host is known or this one is alone.
-    fn keeper(&self, program: &str, now: Duration) -> Option<PeerHost<SocketAddr>> {
+    /// Returns the host that caches a program, or `None` if the zone has no host with
+    /// enough CPU that is not in backoff, or no other host than this one.
+    fn caching_host(&self, program: &str, now: Duration) -> Option<PeerHost<SocketAddr>> {
         let hosts = self.hosts.borrow();
-        let avoidance = self.avoidance.borrow();
+        let backoff = self.backoff.borrow();
         let usable = hosts.iter();
-        let usable = usable.filter(|host| !avoidance.is_backed_off(&host.host, &host.process, now));
-        let is_alone = hosts.iter().all(|host| host.process == self.own_run);
+        let usable = usable.filter(|host| !backoff.is_backed_off(&host.host, &host.process, now));
+        let is_alone = hosts.iter().all(|host| host.process == self.own_process);
         keeper(program, usable).filter(|_| !is_alone).cloned()
     }
 
     async fn send(
         &self,
-        keeper: &PeerHost<SocketAddr>,
+        caching_host: &PeerHost<SocketAddr>,
         path: &'static str,
         message: Vec<u8>,
         timeout: Duration,
-    ) -> Result<Bytes, KeeperError> {
+    ) -> Result<Bytes, CachingHostError> {
         let accepted = Cell::new(false);
-        let asked = self
+        let answer = self
             .connections
-            .ask(keeper.address, path, message, &accepted);
-        Ok(tokio::time::timeout(timeout, asked).await??)
+            .ask(caching_host.address, path, message, &accepted);
+        Ok(tokio::time::timeout(timeout, answer).await??)
     }
 
-    fn answered(&self, keeper: &PeerHost<SocketAddr>) {
-        self.avoidance.borrow_mut().record_response(&keeper.host);
+    fn record_success(&self, caching_host: &PeerHost<SocketAddr>) {
+        self.backoff
+            .borrow_mut()
+            .record_response(&caching_host.host);
     }
 
-    fn avoid(&self, keeper: &PeerHost<SocketAddr>, now: Duration, error: &KeeperError) {
-        let mut avoidance = self.avoidance.borrow_mut();
-        if let Some(wait) = avoidance.record_timeout(&keeper.host, &keeper.process, now) {
-            let event = Event::new(EventKind::HistoryUntold).host(&keeper.host);
+    fn record_failure(
+        &self,
+        caching_host: &PeerHost<SocketAddr>,
+        now: Duration,
+        error: &CachingHostError,
+    ) {
+        let mut backoff = self.backoff.borrow_mut();
+        if let Some(wait) = backoff.record_timeout(&caching_host.host, &caching_host.process, now) {
+            let event = Event::new(EventKind::HistoryUntold).host(&caching_host.host);
             log_event(&event.wait_ms(whole_ms(wait)).error(error));
         }
     }
 }
 
-/// The rows of a program that are kept in the zone; none where nobody tells any.
+/// Returns the rows of a program that are cached in the zone. There are none if no host
+/// caches the program or the caching host does not answer.
 pub async fn rows(gateway: &Gateway, program: &str) -> Vec<Row> {
     let recent = &gateway.recent_history;
-    let Some(keeper) = recent.keeper(program, gateway.clock.now()) else {
+    let Some(caching_host) = recent.caching_host(program, gateway.clock.now()) else {
         return Vec::new();
     };
-    if keeper.process == recent.own_run {
-        return recent.programs.borrow().rows(program);
+    if caching_host.process == recent.own_process {
+        return recent.cache.borrow().rows(program);
     }
     let request = RecentRequest {
-        asked_run: keeper.process.clone(),
+        asked_run: caching_host.process.clone(),
         program: program.to_owned(),
     };
     let message = encode_request(&request);
-    let answer = recent.send(&keeper, ASK_PATH, message, ANSWER_TIMEOUT);
+    let answer = recent.send(&caching_host, ASK_PATH, message, ANSWER_TIMEOUT);
     let rows = answer.await.and_then(|answer| Ok(decode_rows(&answer)?));
     match rows {
         Ok(rows) => {
-            recent.answered(&keeper);
+            recent.record_success(&caching_host);
             rows
         }
         Err(error) => {
-            recent.avoid(&keeper, gateway.clock.now(), &error);
+            recent.record_failure(&caching_host, gateway.clock.now(), &error);
             Vec::new()
         }
     }
 }
 
-/// Has a turn kept that is durable. Nobody waits for it.
-pub fn keep(gateway: &Rc<Gateway>, turn: Arc<Turn>) {
-    let Some(keeper) = gateway
+/// Sends a durable turn to the host that caches its program, without waiting for the
+/// answer. If that host lacks the preceding turn, all turns that this one continues from
+/// are sent as well.
+pub fn cache_turn(gateway: &Rc<Gateway>, turn: Arc<Turn>) {
+    let Some(caching_host) = gateway
         .recent_history
-        .keeper(&turn.program, gateway.clock.now())
+        .caching_host(&turn.program, gateway.clock.now())
     else {
         return;
     };
     let gateway = Rc::clone(gateway);
     actix_rt::spawn(async move {
         let recent = &gateway.recent_history;
-        let alone = std::iter::once(&*turn);
-        let is_gapless = keep_at(&gateway, &keeper, &turn, alone).await;
-        let is_gapless = match is_gapless {
-            Ok(false) => keep_at(&gateway, &keeper, &turn, turn.chain()).await,
-            told => told,
+        let single = std::iter::once(&*turn);
+        let has_previous = send_turns(&gateway, &caching_host, &turn, single).await;
+        let has_previous = match has_previous {
+            Ok(false) => send_turns(&gateway, &caching_host, &turn, turn.chain()).await,
+            result => result,
         };
-        match is_gapless {
-            Ok(_) => recent.answered(&keeper),
-            Err(error) => recent.avoid(&keeper, gateway.clock.now(), &error),
+        match has_previous {
+            Ok(_) => recent.record_success(&caching_host),
+            Err(error) => recent.record_failure(&caching_host, gateway.clock.now(), &error),
         }
     });
 }
 
-/// Has turns of one chain kept, the newest first. Returns whether the keeper has what they
-/// continue from.
-async fn keep_at(
+/// Sends turns of one chain, newest first, to the caching host, and the program's cached
+/// ledger with them. Returns whether that host has the turn that the oldest of them
+/// continues from.
+async fn send_turns(
     gateway: &Gateway,
-    keeper: &PeerHost<SocketAddr>,
+    caching_host: &PeerHost<SocketAddr>,
     newest: &Turn,
     turns: impl Iterator<Item = &Turn>,
-) -> Result<bool, KeeperError> {
+) -> Result<bool, CachingHostError> {
     let recent = &gateway.recent_history;
     let row_bytes = gateway.settings().store.row_bytes / 4 * 3;
     let version = gateway.commits.cached_version(&newest.program);
@@ -190,8 +203,9 @@
         .into_iter()
         .collect();
     for turn in turns {
-        let before = turn.previous.as_ref();
-        previous = before.map_or_else(String::new, |before| before.attempt.clone());
+        let previous_turn = turn.previous.as_ref();
+        previous =
+            previous_turn.map_or_else(String::new, |previous_turn| previous_turn.attempt.clone());
         let writes = turn.rows(row_bytes).into_iter();
         rows.extend(writes.map(|write| Row {
             id: write.row,
@@ -200,50 +214,51 @@
         }));
     }
     let request = KeepRequest {
-        asked_run: keeper.process.clone(),
+        asked_run: caching_host.process.clone(),
         program: newest.program.clone(),
         previous,
         rows,
     };
-    if keeper.process == recent.own_run {
-        return Ok(recent.take(request));
+    if caching_host.process == recent.own_process {
+        return Ok(recent.add_to_cache(request));
     }
     let message = encode_keep(&request);
     let answer = recent
-        .send(keeper, KEEP_PATH, message, KEEP_TIMEOUT)
+        .send(caching_host, KEEP_PATH, message, KEEP_TIMEOUT)
         .await?;
     Ok(decode_kept(&answer)?)
 }
 
 impl RecentHistory {
-    /// Keeps rows. Returns whether the turn is there from which they go on.
-    fn take(&self, request: KeepRequest) -> bool {
-        let mut programs = self.programs.borrow_mut();
-        programs.add(request.rows);
-        request.previous.is_empty() || programs.has_turn(&request.program, &request.previous)
+    /// Adds rows to the cache. Returns whether the cache has the turn that they continue
+    /// from.
+    fn add_to_cache(&self, request: KeepRequest) -> bool {
+        let mut cache = self.cache.borrow_mut();
+        cache.add(request.rows);
+        request.previous.is_empty() || cache.has_turn(&request.program, &request.previous)
     }
 }
 
-/// Answers a gateway that asks for a program's history.
+/// Answers a gateway that requests a program's history.
 pub fn answer(gateway: &Gateway, message: &[u8]) -> Response<BoxBody> {
     match decode_request(message) {
         Ok(request) if request.asked_run == *gateway.commits.process_id() => {
-            let programs = gateway.recent_history.programs.borrow();
-            respond(encode_rows(&programs.rows(&request.program)))
+            let cache = gateway.recent_history.cache.borrow();
+            respond(encode_rows(&cache.rows(&request.program)))
         }
-        // Its sender may be of another site.
+        // The sender may belong to another deployment.
         Ok(_) => refuse(),
         Err(error) => refuse_malformed(&error),
     }
 }
 
-/// Answers a gateway that has history kept.
+/// Answers a gateway that requests history to be cached.
 pub fn answer_keep(gateway: &Gateway, message: &[u8]) -> Response<BoxBody> {
     match decode_keep(message) {
         Ok(request) if request.asked_run == *gateway.commits.process_id() => {
-            respond(encode_kept(gateway.recent_history.take(request)))
+            respond(encode_kept(gateway.recent_history.add_to_cache(request)))
         }
-        // Its sender may be of another site.
+        // The sender may belong to another deployment.
         Ok(_) => refuse(),
         Err(error) => refuse_malformed(&error),
     }
--- a/gateway/src/turn_stream.rs
+++ b/gateway/src/turn_stream.rs
@@ -237,7 +237,7 @@
                 let event = Event::new(EventKind::TurnRecorded).tokens(spending.tokens());
                 self.call.trail.step(event.elapsed(took));
                 self.gateway.history.borrow_mut().insert(Arc::clone(&turn));
-                recent_history::keep(&self.gateway, turn);
+                recent_history::cache_turn(&self.gateway, turn);
                 Ok(())
             }
             Err(_) => Err(io::Error::other("the process stops")),
@@ -286,6 +286,6 @@
         let now = self.gateway.clock.now();
         self.gateway
             .retention
-            .keep(program, rows, retention, version, now);
+            .add_rows(program, rows, retention, version, now);
     }
 }
--- a/gateway/tests/recent_history.rs
+++ b/gateway/tests/recent_history.rs
@@ -1,14 +1,14 @@
-//! Hosts of an availability zone keep the history of programs for each other, and the store
-//! is asked where they do not know it.
+//! Hosts of an availability zone cache the history of programs for each other, and read the
+//! store if the caching host does not have it.
 
 mod support;
 
 use support::{Ask, Gateway, Site, until};
 
-const BY_KEEPER: &str = "history_reads_total{place=\"keeper\"}";
-const BY_STORE: &str = "history_reads_total{place=\"store\"}";
+const READS_FROM_CACHING_HOST: &str = "history_reads_total{place=\"keeper\"}";
+const READS_FROM_STORE: &str = "history_reads_total{place=\"store\"}";
 
-/// Hosts that know each other.
+/// Starts three gateways and waits until each of them has the rows of the others.
 async fn three_gateways(site: &Site) -> [Gateway; 3] {
     let gateways = [site.gateway(), site.gateway(), site.gateway()];
     for gateway in &gateways {
@@ -18,7 +18,7 @@
     gateways
 }
 
-/// A turn that continues from the one before it.
+/// Returns the request for a turn that continues from the preceding one.
 fn turn(program: &str, number: usize) -> Ask {
     let ask = Ask::turn(&format!("{program}-t{number}"), program, "x|");
     match number {
@@ -27,7 +27,7 @@
     }
 }
 
-async fn is_served(gateway: &Gateway, program: &str, number: usize) {
+async fn assert_served(gateway: &Gateway, program: &str, number: usize) {
     let answer = turn(program, number).send(gateway.front).await;
     assert_eq!(
         (answer.status, answer.is_whole),
@@ -45,35 +45,38 @@
     sum
 }
 
-/// The pattern of a large fleet: each turn of a program comes to another host.
+/// Each turn of a program arrives at another host, as in a large deployment.
 #[actix_rt::test]
-async fn history_is_told_by_a_host_of_the_zone() {
+async fn history_is_read_from_a_host_of_the_zone() {
     let site = Site::start();
     let gateways = three_gateways(&site).await;
-    let kept = async |program: &str| {
+    let serve_program = async |program: &str| {
         for number in 0..6 {
-            is_served(&gateways[number % 3], program, number).await;
-            // What is kept is told beside the answer.
+            assert_served(&gateways[number % 3], program, number).await;
+            // The turn is sent to the caching host concurrently with the answer.
             actix_rt::time::sleep(std::time::Duration::from_millis(20)).await;
         }
     };
     let tries = std::cell::Cell::new(0);
-    until("a program is read from no store", async || {
-        let before = sum(&gateways, BY_STORE).await;
-        tries.set(tries.get() + 1);
-        kept(&format!("p{}", tries.get())).await;
-        sum(&gateways, BY_STORE).await == before
-    })
+    until(
+        "a program is served without a read of the store",
+        async || {
+            let before = sum(&gateways, READS_FROM_STORE).await;
+            tries.set(tries.get() + 1);
+            serve_program(&format!("p{}", tries.get())).await;
+            sum(&gateways, READS_FROM_STORE).await == before
+        },
+    )
     .await;
-    assert!(sum(&gateways, BY_KEEPER).await > 0);
+    assert!(sum(&gateways, READS_FROM_CACHING_HOST).await > 0);
 }
 
 #[actix_rt::test]
-async fn the_prompt_of_a_turn_is_the_same_whoever_told_its_history() {
+async fn the_prompt_of_a_turn_does_not_depend_on_the_source_of_its_history() {
     let site = Site::start();
     let gateways = three_gateways(&site).await;
     for number in 0..6 {
-        is_served(&gateways[number % 3], "p1", number).await;
+        assert_served(&gateways[number % 3], "p1", number).await;
     }
     let runs = site.runs(0).await;
     let bodies: Vec<&String> = (0..6)
@@ -85,18 +88,18 @@
 }
 
 #[actix_rt::test]
-async fn the_store_tells_history_while_other_hosts_stand_still() {
+async fn history_is_read_from_the_store_while_other_hosts_are_stopped() {
     let site = Site::start();
     let gateways = three_gateways(&site).await;
     for number in 0..3 {
-        is_served(&gateways[number % 3], "p1", number).await;
+        assert_served(&gateways[number % 3], "p1", number).await;
     }
     let [first, second, third] = &gateways;
     second.signal("STOP");
     third.signal("STOP");
-    is_served(first, "p1", 3).await;
-    is_served(first, "p1", 4).await;
+    assert_served(first, "p1", 3).await;
+    assert_served(first, "p1", 4).await;
     second.signal("CONT");
     third.signal("CONT");
-    is_served(second, "p1", 5).await;
+    assert_served(second, "p1", 5).await;
 }
--- a/gateway/tests/retention.rs
+++ b/gateway/tests/retention.rs
@@ -1,4 +1,5 @@
-//! Rows of programs that are over go, those of others stay.
+//! Rows of programs whose retention has expired are deleted, and those of other programs
+//! are not.
 
 mod support;
 
@@ -9,7 +10,7 @@
 
 const MODELS: usize = 0;
 
-/// A site whose turns are kept for a second.
+/// Returns a deployment whose routes have a retention time of one second.
 fn site() -> Site {
     let site = Site::without_routes();
     let mut short = routes(1);
@@ -19,7 +20,7 @@
 }
 
 #[actix_rt::test]
-async fn a_program_that_is_over_leaves_no_rows() {
+async fn an_expired_program_leaves_no_rows() {
     let site = site();
     let gateway = site.ready_gateway().await;
     Ask::turn("t1", "p1", "first|").send(gateway.front).await;
@@ -28,14 +29,14 @@
         .send(gateway.front)
         .await;
     assert_eq!((site.rows("programs"), site.rows("turns")), (3, 2));
-    until("its rows are gone", async || {
+    until("its rows are deleted", async || {
         site.rows("programs") == 0 && site.rows("turns") == 0
     })
     .await;
 }
 
 #[actix_rt::test]
-async fn a_program_of_two_hosts_leaves_no_rows_and_none_goes_early() {
+async fn rows_of_a_program_of_two_hosts_are_deleted_only_after_it_expires() {
     let site = site();
     let gateways = site.two_ready_gateways().await;
     let mut previous: Option<String> = None;
@@ -48,17 +49,17 @@
         let answer = ask.send(gateways[number % 2].front).await;
         assert_eq!(answer.status, 200, "turn {number}");
         previous = Some(attempt);
-        // All turns together take longer than one is kept after its own end.
+        // All turns together take longer than the retention time of one turn.
         actix_rt::time::sleep(Duration::from_millis(400)).await;
     }
-    until("its rows are gone", async || {
+    until("its rows are deleted", async || {
         site.rows("programs") == 0 && site.rows("turns") == 0
     })
     .await;
 }
 
 #[actix_rt::test]
-async fn a_program_that_continued_from_another_one_outlives_it() {
+async fn a_program_that_continues_from_another_one_survives_its_deletion() {
     let site = site();
     let gateway = site.ready_gateway().await;
     Ask::turn("t1", "p1", "first|").send(gateway.front).await;
@@ -66,7 +67,7 @@
         .previous("t1")
         .send(gateway.front)
         .await;
-    // The other program goes on while the first one is deleted.
+    // The second program continues while the first one is deleted.
     let mut previous = "u1".to_owned();
     for number in 2..10 {
         actix_rt::time::sleep(Duration::from_millis(400)).await;
