--- a/gateway/src/front.rs
+++ b/gateway/src/front.rs
@@ -201,7 +201,7 @@
 
 /// Passes on peers' calls to the store until the process ends.
 pub async fn serve_peers(gateway: Rc<Gateway>, listener: TcpListener) {
-    let handler = move |request: Request| peers::pass_on(Rc::clone(&gateway), request);
+    let handler = move |request: Request| peers::handle_request(Rc::clone(&gateway), request);
     serve_always(listener, handler).await;
 }
 
--- a/gateway/src/peers.rs
+++ b/gateway/src/peers.rs
@@ -1,9 +1,10 @@
-//! Gateways that know each other, so that one which the store turns away can
-//! send its calls by another, and that one can commit for many.
+//! The directory of gateways. A gateway that the store does not answer sends its calls
+//! through another one, and a gateway can batch the transactions of others.
 //!
-//! Each gateway has a row under a hash of its name and follows the table: a row
-//! changes only when a process starts or stops as planned. The few hosts behind a
-//! gateway's own row pass its calls on; they differ from host to host.
+//! Each gateway has a row in a table, with a hash of its host's name as the key, and
+//! follows the table. A row changes only when a process starts or stops as planned. The
+//! few hosts whose rows follow a gateway's own row relay its calls, so the relays differ
+//! from host to host.
 
 use std::convert::Infallible;
 use std::net::SocketAddr;
@@ -29,26 +30,29 @@
 mod row;
 mod table;
 
-/// Table of the gateways' own rows, and of the owners of escrow slots.
+/// The table that contains the rows of gateways and of the owners of escrow slots.
 pub const TABLE: &str = FollowedTable::Gateways.name();
-/// Rows that a host which starts reads to find one that has them all: with five
-/// availability zones about six hosts of its own.
-const FIRST_ROWS: usize = 32;
-/// Hosts that one which starts asks for the table at most.
-const MAX_ASKED: usize = 2;
-/// Pause after a failure.
-const RETRY_PAUSE: Duration = Duration::from_millis(300);
-/// Largest call that is passed on; the store takes at most 1 MB of rows, encoded.
+/// Maximum number of rows that a starting host reads to find a host of its availability
+/// zone that has the whole table. With five zones, about six of these rows belong to
+/// hosts of its own zone.
+const BOOTSTRAP_ROWS: usize = 32;
+/// Maximum number of hosts that a starting host asks for the table.
+const MAX_HOSTS_ASKED: usize = 2;
+/// Delay before the table is requested again after a failure.
+const RETRY_DELAY: Duration = Duration::from_millis(300);
+/// Maximum size of a relayed call in bytes. The store accepts at most 1 MB of encoded
+/// rows.
 const MAX_CALL_BYTES: usize = 2 << 20;
-/// Time between two questions whether the store answers this host again.
+/// Time between two probes whether the store answers this host again.
 const PROBE_INTERVAL: Duration = Duration::from_millis(400);
 
-/// Writes this gateway's row and follows its peers, for ever.
+/// Writes this gateway's row and follows the table of gateways, in an endless loop.
+/// `relay` is the address at which this gateway accepts requests of other gateways.
 pub async fn follow(gateway: Rc<Gateway>, relay: SocketAddr) {
     let mut table = PeerTable::default();
     let mut is_written = write_row(&gateway, relay).await.is_ok();
-    if let Some(followed) = take_from_another(&gateway).await {
-        take(&gateway, &mut table, &followed);
+    if let Some(followed) = fetch_from_zone(&gateway).await {
+        apply(&gateway, &mut table, &followed);
     }
     loop {
         if !is_written {
@@ -58,60 +62,63 @@
             Ok(followed) => {
                 let has_changed = followed.is_whole || !followed.rows.is_empty();
                 if has_changed {
-                    take(&gateway, &mut table, &followed);
+                    apply(&gateway, &mut table, &followed);
                 }
-                // A late write of the host's last run may have replaced it.
-                is_written &= table.has(gateway.commits.process_id());
+                // A delayed write of the host's previous process may have replaced the row.
+                is_written &= table.contains(gateway.commits.process_id());
                 if has_changed && followed.is_from_store {
                     tokio::time::sleep(FollowedTable::Gateways.store_pause()).await;
                 }
             }
-            // The client has logged that the store is lost.
-            Err(_) => tokio::time::sleep(RETRY_PAUSE).await,
+            // The client has already logged that the store is unreachable.
+            Err(_) => tokio::time::sleep(RETRY_DELAY).await,
         }
     }
 }
 
-/// The table from a host of this one's availability zone. When many hosts start, each
-/// would otherwise read the rows of all from the store.
-async fn take_from_another(gateway: &Gateway) -> Option<Followed> {
+/// Returns the table from a host of this one's availability zone, or `None` if no such
+/// host answers. Otherwise, when many hosts start at once, each of them would read the
+/// whole table from the store.
+async fn fetch_from_zone(gateway: &Gateway) -> Option<Followed> {
     let settings = gateway.settings();
     let range = RowRange::whole(TABLE, &row_id(&settings.host).partition);
-    let rows = gateway.store.read_some(&range, FIRST_ROWS).await.ok()?;
+    let rows = gateway.store.read_some(&range, BOOTSTRAP_ROWS).await.ok()?;
     let mut table = PeerTable::default();
-    rows.rows.iter().for_each(|row| table.take(row));
-    let mut hosts = table.candidates_of(&settings.availability_zone);
+    rows.rows.iter().for_each(|row| table.apply(row));
+    let mut hosts = table.hosts_in_zone(&settings.availability_zone);
     hosts.retain(|host| host.host != settings.host);
-    hosts.truncate(MAX_ASKED);
+    hosts.truncate(MAX_HOSTS_ASKED);
     gateway.feeds.take_hosts_from(&hosts).await
 }
 
-fn take(gateway: &Gateway, table: &mut PeerTable, followed: &Followed) {
+/// Applies changed rows to the table, and passes the new list of hosts to all modules that
+/// use it.
+fn apply(gateway: &Gateway, table: &mut PeerTable, followed: &Followed) {
     if followed.is_whole {
         table.clear();
     }
     for row in &followed.rows {
         match SlotId::from_key(&row.id.key) {
             Some(slot) => gateway.escrow.take_row(slot, row),
-            None => table.take(row),
+            None => table.apply(row),
         }
     }
     let settings = gateway.settings();
-    gateway.store.set_peers(&table.behind(&key(&settings.host)));
-    gateway.joined_commits.set_hosts(table.candidates());
-    gateway.limits.set_hosts(table.candidates());
-    gateway.holders.set_hosts(&table.candidates());
-    let zone = table.candidates_of(&settings.availability_zone);
+    gateway
+        .store
+        .set_peers(&table.relays_for(&key(&settings.host)));
+    gateway.joined_commits.set_hosts(table.hosts());
+    gateway.limits.set_hosts(table.hosts());
+    gateway.holders.set_hosts(&table.hosts());
+    let zone = table.hosts_in_zone(&settings.availability_zone);
     gateway.recent_history.set_hosts(zone.clone());
     gateway.feeds.set_hosts(zone);
     let now = gateway.clock.now();
     let all_withhold = table.all_withhold();
-    gateway
-        .escrow
-        .set_hosts(table.candidates(), all_withhold, now);
+    gateway.escrow.set_hosts(table.hosts(), all_withhold, now);
 }
 
-/// Where a host's row lies. The partition is the first digit of the key.
+/// Returns the identifier of a host's row. The partition is the first digit of the key.
 pub fn row_id(host: &str) -> RowId {
     let key = key(host);
     let partition = key[..1].to_owned();
@@ -129,7 +136,7 @@
         processor_milli: gateway.settings().processor_milli,
         fences_escrow: true,
     };
-    let value = serde_json::to_vec(&peer).expect("text has a JSON form");
+    let value = serde_json::to_vec(&peer).expect("a gateway row can be serialized to JSON");
     let transaction = Transaction {
         writes: vec![RowWrite { row, value }],
         ..Transaction::default()
@@ -138,35 +145,37 @@
 }
 
 /// Deletes this gateway's row at a planned stop.
-pub async fn leave(gateway: &Gateway) {
+pub async fn remove_row(gateway: &Gateway) {
     let transaction = Transaction {
         deletes: vec![row_id(&gateway.settings().host)],
         ..Transaction::default()
     };
-    // A row that stays costs a peer one call that is refused.
+    // If the row remains, each peer that relays through this host gets one refused call.
     let _ = gateway.store.transact(&transaction).await;
 }
 
-/// Where a process answers its peers; none when it has left, or another one
-/// runs on its host by now.
+/// Returns the address at which a process accepts requests of other gateways, or `None`
+/// if it has stopped or another process now runs on its host.
 ///
 /// # Errors
 ///
-/// Fails when the store does not answer.
-pub async fn find(gateway: &Gateway, holder: &ProcessId) -> Result<Option<SocketAddr>, StoreError> {
+/// Returns an error if the store does not answer.
+pub async fn find_address(
+    gateway: &Gateway,
+    holder: &ProcessId,
+) -> Result<Option<SocketAddr>, StoreError> {
     let Some((host, _)) = holder.rsplit_once('/') else {
         return Ok(None);
     };
     let id = row_id(host);
     let row = gateway.store.read_row(&id).await?;
-    // A row that names no gateway is logged by who looks for peers.
+    // Invalid rows are logged when the table is followed.
     let peer = row.and_then(|row| PeerRow::try_from(&row).ok());
     let peer = peer.filter(|peer| peer.holder == *holder);
     Ok(peer.map(|peer| peer.relay))
 }
 
-/// Asks again and again, while the store does not answer this host, whether it
-/// does; for ever.
+/// Probes the store at intervals while it does not answer this host, in an endless loop.
 pub async fn probe(gateway: Rc<Gateway>) {
     loop {
         tokio::time::sleep(PROBE_INTERVAL).await;
@@ -177,15 +186,15 @@
     }
 }
 
-/// Answers a peer's question, commits for it, or passes its call on to the store,
-/// straight.
-pub async fn pass_on(
+/// Handles a request of another gateway: answers it, commits its transaction, or relays
+/// its call directly to the store.
+pub async fn handle_request(
     gateway: Rc<Gateway>,
     request: Request,
 ) -> Result<Response<BoxBody>, Infallible> {
     let path = request.path().to_owned();
-    let is_for_another = is_for_another(&gateway, &request);
-    let Some(outgoing) = read(request).await else {
+    let is_for_other_process = is_for_other_process(&gateway, &request);
+    let Some(outgoing) = read_call(request).await else {
         return Ok(Response::with_body(StatusCode::BAD_REQUEST, ().boxed()));
     };
     Ok(match path.as_str() {
@@ -194,23 +203,27 @@
         batched_commits::PATH => batched_commits::answer(&gateway, &outgoing.body),
         recent_history::ASK_PATH => recent_history::answer(&gateway, &outgoing.body),
         recent_history::KEEP_PATH => recent_history::answer_keep(&gateway, &outgoing.body),
-        // Its sender is of another site, perhaps, and has another store.
-        _ if is_for_another => Response::with_body(StatusCode::MISDIRECTED_REQUEST, ().boxed()),
+        // The sender may belong to another deployment, which has another store.
+        _ if is_for_other_process => {
+            Response::with_body(StatusCode::MISDIRECTED_REQUEST, ().boxed())
+        }
         _ => {
-            let (status, body) = answer(&gateway, &outgoing).await;
+            let (status, body) = relay_call(&gateway, &outgoing).await;
             let status = StatusCode::from_u16(status).unwrap_or(StatusCode::BAD_GATEWAY);
             Response::with_body(status, body.boxed())
         }
     })
 }
 
-/// Whether a call names another run than this process. Hosts of earlier versions name none.
-fn is_for_another(gateway: &Gateway, request: &Request) -> bool {
+/// Returns whether a call is addressed to another process than this one. Calls of hosts
+/// with earlier versions contain no process.
+fn is_for_other_process(gateway: &Gateway, request: &Request) -> bool {
     let asked = request.headers().get(ASKED_RUN.as_str());
     asked.is_some_and(|asked| asked.as_bytes() != gateway.commits.process_id().as_bytes())
 }
 
-async fn answer(gateway: &Gateway, outgoing: &Outgoing) -> (u16, Bytes) {
+/// Relays a call to the store. Returns the status and the body of the answer.
+async fn relay_call(gateway: &Gateway, outgoing: &Outgoing) -> (u16, Bytes) {
     if gateway.store.is_direct_down() {
         return (503, Bytes::new());
     }
@@ -226,7 +239,8 @@
     }
 }
 
-async fn read(mut request: Request) -> Option<Outgoing> {
+/// Reads a request to relay. Returns `None` if it is incomplete, too large or malformed.
+async fn read_call(mut request: Request) -> Option<Outgoing> {
     let mut payload = request.take_payload();
     let mut body = BytesMut::new();
     while let Some(chunk) = payload.next().await {
--- a/gateway/src/peers/row.rs
+++ b/gateway/src/peers/row.rs
@@ -1,5 +1,5 @@
-//! The row by which a gateway is known to others, checked: anyone may write to
-//! the table.
+//! The row of a gateway in the table of gateways, and its validation. Any client of the
+//! store can write to the table, so rows are validated when they are read.
 
 use std::net::{IpAddr, SocketAddr};
 
@@ -9,50 +9,52 @@
 use rosebend_util::hash_parts;
 use serde::{Deserialize, Serialize};
 
-/// A gateway, as it tells of itself.
+/// The row that a gateway writes about itself.
 #[derive(Debug, Deserialize, Serialize)]
 pub struct PeerRow {
     /// The host's name.
     pub host: String,
-    /// Its availability zone. Rows of older versions do not tell it: nobody follows
-    /// those hosts.
+    /// The host's availability zone. Rows of older versions do not contain it, and no
+    /// host follows theirs.
     #[serde(default)]
     pub availability_zone: Option<AvailabilityZone>,
-    /// Where it passes calls on; never a port or an address that none has.
+    /// The address at which the gateway accepts requests of other gateways and relays
+    /// their calls. It is a unicast address with a port other than zero.
     pub relay: SocketAddr,
-    /// The run of the host's process that wrote the row, as HOST/RUN.
+    /// The process that wrote the row, as HOST/RUN.
     pub holder: ProcessId,
     /// The host's share of a processor, in thousandths of a core. Rows of older
-    /// versions do not tell it: those hosts do not commit for others.
+    /// versions do not contain it, and their hosts do not batch for others.
     #[serde(default)]
     pub processor_milli: u32,
-    /// Whether its ledgers keep room for what escrow slots grant, and rest on the slots'
-    /// fences. Those of older versions do not, and no slot is owned while one runs.
+    /// Whether the gateway's ledgers withhold tokens for the grants of escrow slots and
+    /// depend on the slots' fences. Those of older versions do not, and no slot has an
+    /// owner while a gateway of an older version runs.
     #[serde(default)]
     pub fences_escrow: bool,
 }
 
-/// A row names no gateway.
+/// The row of a gateway is invalid.
 #[derive(Debug, thiserror::Error)]
 #[error(transparent)]
 pub struct PeerRowError(#[from] PeerRowErrorKind);
 
-/// What is wrong; opaque to others, who can only tell it.
+/// The reason why a row is invalid. It is private, so that callers can only print it.
 #[derive(Debug, thiserror::Error)]
 enum PeerRowErrorKind {
-    #[error("the row is gone")]
-    Gone,
-    #[error("not the form that this version writes: {0}")]
-    Form(#[from] serde_json::Error),
-    #[error("the row lies under another key than its host's")]
+    #[error("the row is deleted")]
+    Deleted,
+    #[error("malformed gateway row: {0}")]
+    Malformed(#[from] serde_json::Error),
+    #[error("the key of the gateway row does not match its host")]
     Key,
-    #[error("the row was written by another host than its own")]
+    #[error("the gateway row contains a process of another host")]
     Holder,
-    #[error("nobody listens at {0}")]
+    #[error("the gateway row contains the unusable address {0}")]
     Address(SocketAddr),
 }
 
-/// Key of a host's row.
+/// Returns the key of a host's row.
 pub fn key(host: &str) -> String {
     format!("{:016x}", hash_parts(&[host.as_bytes()]))
 }
@@ -61,8 +63,8 @@
     type Error = PeerRowError;
 
     fn try_from(row: &Row) -> Result<Self, PeerRowError> {
-        let value = row.value.as_ref().ok_or(PeerRowErrorKind::Gone)?;
-        let peer: Self = serde_json::from_slice(value).map_err(PeerRowErrorKind::Form)?;
+        let value = row.value.as_ref().ok_or(PeerRowErrorKind::Deleted)?;
+        let peer: Self = serde_json::from_slice(value).map_err(PeerRowErrorKind::Malformed)?;
         if key(&peer.host) != row.id.key {
             return Err(PeerRowErrorKind::Key.into());
         }
@@ -70,18 +72,19 @@
         if host != peer.host {
             return Err(PeerRowErrorKind::Holder.into());
         }
-        match is_an_address(peer.relay) {
+        match is_usable_address(peer.relay) {
             true => Ok(peer),
             false => Err(PeerRowErrorKind::Address(peer.relay).into()),
         }
     }
 }
 
-fn is_an_address(address: SocketAddr) -> bool {
+/// Returns whether another host may listen at an address.
+fn is_usable_address(address: SocketAddr) -> bool {
     let is_broadcast = match address.ip() {
         IpAddr::V4(ip) => ip.is_broadcast(),
         IpAddr::V6(_) => false,
     };
-    let is_of_none = address.ip().is_unspecified() || address.ip().is_multicast();
-    address.port() != 0 && !is_of_none && !is_broadcast
+    let is_not_unicast = address.ip().is_unspecified() || address.ip().is_multicast();
+    address.port() != 0 && !is_not_unicast && !is_broadcast
 }
--- a/gateway/src/peers/table.rs
+++ b/gateway/src/peers/table.rs
@@ -1,4 +1,4 @@
-//! The gateways that a host knows by their rows.
+//! The table of gateways as this host has read it.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -12,27 +12,27 @@
 
 use super::row::{PeerRow, PeerRowError};
 
-/// Peers that pass calls to the store on, at most.
-const MAX_PEERS: usize = 8;
-/// Rows that name no gateway and are told at most, each once.
-const MAX_TOLD: usize = 8;
+/// Maximum number of peers that relay calls to the store.
+const MAX_RELAYS: usize = 8;
+/// Maximum number of invalid rows that are logged, each of them once.
+const MAX_LOGGED: usize = 8;
 
-/// The gateways that are there, by their rows' keys.
+/// The running gateways by the keys of their rows.
 #[derive(Debug, Default)]
 pub struct PeerTable {
     peers: BTreeMap<String, PeerRow>,
-    /// Keys of rows that name no gateway, as far as they were told.
-    unusable: BTreeSet<String>,
+    /// Keys of the invalid rows that were logged.
+    logged: BTreeSet<String>,
 }
 
 impl PeerTable {
-    /// Forgets all of them.
+    /// Removes all gateways.
     pub fn clear(&mut self) {
         self.peers.clear();
     }
 
-    /// Takes a row that was written or deleted.
-    pub fn take(&mut self, row: &Row) {
+    /// Applies a row that was written or deleted.
+    pub fn apply(&mut self, row: &Row) {
         if row.value.is_none() {
             self.peers.remove(&row.id.key);
             return;
@@ -43,41 +43,43 @@
             }
             Err(error) => {
                 self.peers.remove(&row.id.key);
-                self.tell(row, &error);
+                self.log_invalid(row, &error);
             }
         }
     }
 
-    /// Tells a row once, and no more than a few of them: whoever writes such
-    /// rows may write many.
-    fn tell(&mut self, row: &Row, error: &PeerRowError) {
-        if self.unusable.len() < MAX_TOLD && self.unusable.insert(row.id.key.clone()) {
+    /// Logs an invalid row once, up to [`MAX_LOGGED`] rows, because their author may
+    /// write many of them.
+    fn log_invalid(&mut self, row: &Row, error: &PeerRowError) {
+        if self.logged.len() < MAX_LOGGED && self.logged.insert(row.id.key.clone()) {
             log_event(&Event::new(EventKind::PeerRowUnusable).error(error));
         }
     }
 
-    /// Whether a run of a gateway is there.
-    pub fn has(&self, holder: &ProcessId) -> bool {
+    /// Returns whether the table contains the row of a process.
+    pub fn contains(&self, holder: &ProcessId) -> bool {
         self.peers.values().any(|peer| peer.holder == *holder)
     }
 
-    /// Whether all of them keep room in ledgers for what escrow slots grant.
+    /// Returns whether the ledgers of all gateways withhold tokens for the grants of
+    /// escrow slots.
     pub fn all_withhold(&self) -> bool {
         self.peers.values().all(|peer| peer.fences_escrow)
     }
 
-    /// Where the hosts behind a key pass calls on, around the end of the table.
-    pub fn behind(&self, own: &str) -> Vec<Peer> {
-        let (before, behind) = self
+    /// Returns the peers that relay calls for the host with a key. Their rows follow that
+    /// key in the table, which is treated as a ring.
+    pub fn relays_for(&self, own: &str) -> Vec<Peer> {
+        let (before, after) = self
             .peers
             .iter()
             .partition::<Vec<_>, _>(|(key, _)| key.as_str() <= own);
-        let others = behind.into_iter().chain(before);
+        let others = after.into_iter().chain(before);
         let others = others.filter(|(key, _)| key.as_str() != own);
         let mut found: Vec<Peer> = Vec::new();
         for (_, peer) in others {
             let address = peer.relay;
-            if found.len() < MAX_PEERS && !found.iter().any(|known| known.address == address) {
+            if found.len() < MAX_RELAYS && !found.iter().any(|known| known.address == address) {
                 let run = peer.holder.clone();
                 found.push(Peer { address, run });
             }
@@ -85,20 +87,20 @@
         found
     }
 
-    /// All of them, as hosts that may commit for others.
-    pub fn candidates(&self) -> Vec<PeerHost<SocketAddr>> {
-        self.peers.values().map(candidate).collect()
+    /// Returns all gateways as hosts.
+    pub fn hosts(&self) -> Vec<PeerHost<SocketAddr>> {
+        self.peers.values().map(to_host).collect()
     }
 
-    /// Those of an availability zone, as hosts that may be followed.
-    pub fn candidates_of(&self, zone: &AvailabilityZone) -> Vec<PeerHost<SocketAddr>> {
+    /// Returns the gateways of an availability zone as hosts.
+    pub fn hosts_in_zone(&self, zone: &AvailabilityZone) -> Vec<PeerHost<SocketAddr>> {
         let peers = self.peers.values();
-        let of_zone = peers.filter(|peer| peer.availability_zone.as_ref() == Some(zone));
-        of_zone.map(candidate).collect()
+        let in_zone = peers.filter(|peer| peer.availability_zone.as_ref() == Some(zone));
+        in_zone.map(to_host).collect()
     }
 }
 
-fn candidate(peer: &PeerRow) -> PeerHost<SocketAddr> {
+fn to_host(peer: &PeerRow) -> PeerHost<SocketAddr> {
     PeerHost {
         host: peer.host.clone(),
         process: peer.holder.clone(),
--- a/gateway/src/process.rs
+++ b/gateway/src/process.rs
@@ -138,7 +138,7 @@
     // a run that is gone.
     let _ = tokio::join!(
         tokio::time::timeout(LEAVE_TIMEOUT, give_up_slots(gateway)),
-        tokio::time::timeout(LEAVE_TIMEOUT, peers::leave(gateway)),
+        tokio::time::timeout(LEAVE_TIMEOUT, peers::remove_row(gateway)),
     );
 
     let kind = match gateway.open_requests() {
--- a/gateway/src/recall.rs
+++ b/gateway/src/recall.rs
@@ -161,7 +161,7 @@
     if let Some(address) = gateway.holders.get(holder) {
         return Ok(Some(address));
     }
-    let found = peers::find(gateway, holder).await;
+    let found = peers::find_address(gateway, holder).await;
     let found = found.map_err(|_| gateway.store_unreachable())?;
     if let Some(address) = found {
         gateway.holders.put(holder, address);
--- a/gateway/tests/foreign.rs
+++ b/gateway/tests/foreign.rs
@@ -1,5 +1,5 @@
-//! What others wrote and cannot be used: it costs that one thing, and no
-//! process.
+//! Invalid routes, headers and rows written by other systems affect only themselves and
+//! stop no process.
 
 mod support;
 
@@ -13,12 +13,13 @@
 use serde_json::json;
 use support::{Ask, Gateway, Site, until};
 
-/// Longest wait for an answer of the store.
-const PATIENCE: Duration = Duration::from_secs(5);
+/// Timeout for an answer of the store.
+const STORE_TIMEOUT: Duration = Duration::from_secs(5);
 const MODELS: usize = 0;
 const DESK: usize = 1;
-/// Rows that name no gateway; more than a host knows of peers.
-const FOREIGN_PEERS: usize = 96;
+/// Number of invalid gateway rows, which is larger than the number of peers that a host
+/// uses as relays.
+const INVALID_PEER_ROWS: usize = 96;
 
 async fn status(gateway: &Gateway, path: &str, attempt: &str) -> u16 {
     let ask = Ask::get(path).attempt(attempt);
@@ -26,7 +27,7 @@
 }
 
 #[actix_rt::test]
-async fn a_route_that_cannot_be_used_is_refused_alone() {
+async fn only_requests_of_an_unusable_route_are_refused() {
     let (site, gateway) = Site::start_with_gateway().await;
     let mut next = support::routes(7);
     next["routes"][0]["retention-s"] = json!(1e20);
@@ -41,7 +42,8 @@
     })
     .await;
     assert_eq!(status(&gateway, "/lookup/x", "a1").await, 200);
-    // The wider route would serve it, more often than it may run.
+    // The wider route also matches the request and would run it more often than the
+    // unusable route allows.
     let answer = Ask::get("/fee/x").attempt("a2").send(gateway.front).await;
     assert_eq!(answer.status, 503);
     assert!(answer.retry_after_s().unwrap() > 0.0);
@@ -49,21 +51,21 @@
     let turn = Ask::turn("a3", "p1", "hello").send(gateway.front).await;
     assert_eq!(turn.status, 503);
     assert!(!site.runs(DESK).await.contains_key("a2"));
-    until("both routes are told", async || {
+    until("both routes are logged", async || {
         gateway.events("route-unusable").len() == 2
     })
     .await;
-    let told = gateway.events("route-unusable");
-    let routes: Vec<&str> = told
+    let logged = gateway.events("route-unusable");
+    let routes: Vec<&str> = logged
         .iter()
         .filter_map(|event| event["route"].as_str())
         .collect();
     assert_eq!(routes, ["turns", "fee"]);
-    assert!(told.iter().all(|event| event["count"] == 2));
+    assert!(logged.iter().all(|event| event["count"] == 2));
 }
 
 #[actix_rt::test]
-async fn a_version_that_cannot_be_read_leaves_the_one_before_in_force() {
+async fn an_unreadable_version_of_the_routes_does_not_replace_the_previous_one() {
     let (site, gateway) = Site::start_with_gateway().await;
     let mut next = support::routes(7);
     next["limits"]["idle-timeout-ms"] = json!(u64::MAX);
@@ -77,7 +79,7 @@
 }
 
 #[actix_rt::test]
-async fn a_header_that_cannot_be_used_is_told_and_runs_nowhere() {
+async fn a_request_with_an_unusable_header_is_logged_and_does_not_run() {
     let (site, gateway) = Site::start_with_gateway().await;
     let long = "x".repeat(200);
     let table = [
@@ -96,10 +98,10 @@
         let ask = Ask::turn("a1", "p1", "hello").header(name, value);
         let answer = ask.send(gateway.front).await;
         assert_eq!(answer.status, 400, "{name}: {value}");
-        let told = answer.body.to_ascii_lowercase();
-        assert!(told.contains(name), "{name}: {value}: {told}");
+        let body = answer.body.to_ascii_lowercase();
+        assert!(body.contains(name), "{name}: {value}: {body}");
     }
-    until("all refusals are told", async || {
+    until("all refusals are logged", async || {
         gateway.events("request-ended").len() == table.len()
     })
     .await;
@@ -114,8 +116,8 @@
     assert_eq!(answer.status, 200);
 }
 
-/// Rows of the table of gateways that name no gateway, spread over all keys.
-fn write_foreign_peers(site: &Site) {
+/// Writes invalid rows to the table of gateways, with keys spread over the whole range.
+fn write_invalid_peers(site: &Site) {
     let long = "x".repeat(10_000);
     let odd = |number: usize| {
         let host = format!("foreign-{number}");
@@ -128,31 +130,31 @@
             _ => json!("no object"),
         }
     };
-    for number in 0..FOREIGN_PEERS {
-        let key = format!("{:02x}", number * 256 / FOREIGN_PEERS);
+    for number in 0..INVALID_PEER_ROWS {
+        let key = format!("{:02x}", number * 256 / INVALID_PEER_ROWS);
         site.store.put("gateways", &key, &odd(number));
     }
 }
 
 #[actix_rt::test]
-async fn rows_that_name_no_peer_take_the_place_of_none() {
+async fn invalid_gateway_rows_do_not_displace_peers() {
     let site = Site::start();
-    write_foreign_peers(&site);
+    write_invalid_peers(&site);
     let open_door = site.open_door();
     let peer = Gateway::start(open_door.address());
     peer.until_ready().await;
     until("the peer has written its row", async || {
-        site.rows("gateways") == FOREIGN_PEERS + 1
+        site.rows("gateways") == INVALID_PEER_ROWS + 1
     })
     .await;
     let gateway = site.ready_gateway().await;
-    until("the rows are told", async || {
+    until("the rows are logged", async || {
         !gateway.events("peer-row-unusable").is_empty()
     })
     .await;
     gateway.until_peers(1).await;
     site.faults(&StoreFaults::refusing()).await;
-    until("calls go by the peer", async || {
+    until("calls are relayed through the peer", async || {
         !gateway.events("store-relayed").is_empty()
     })
     .await;
@@ -162,14 +164,14 @@
             .iter()
             .all(|event| event["address"] != "127.0.0.1:9")
     );
-    let told = gateway.events("peer-row-unusable");
-    assert!((1..=8).contains(&told.len()), "{} lines", told.len());
+    let logged = gateway.events("peer-row-unusable");
+    assert!((1..=8).contains(&logged.len()), "{} lines", logged.len());
 }
 
 #[actix_rt::test]
-async fn a_turn_whose_index_row_cannot_be_read_is_not_denied() {
+async fn a_turn_with_an_unreadable_index_row_is_not_reported_as_missing() {
     let (site, gateway) = Site::start_with_gateway().await;
-    let store = StoreClient::new(site.door.address(), PATIENCE, Clock::start());
+    let store = StoreClient::new(site.door.address(), STORE_TIMEOUT, Clock::start());
     let partition = partitions().next().unwrap();
     let foreign = Transaction {
         writes: vec![RowWrite {
--- a/gateway/tests/relay.rs
+++ b/gateway/tests/relay.rs
@@ -1,4 +1,4 @@
-//! A gateway that the store turns away goes on by a peer that it answers.
+//! A gateway that the store does not answer relays its calls through a peer that it answers.
 
 mod support;
 
@@ -21,12 +21,12 @@
 }
 
 #[actix_rt::test]
-async fn a_host_that_is_turned_away_serves_turns_by_a_peer() {
+async fn a_host_without_access_to_the_store_serves_turns_through_a_peer() {
     for (name, faults) in faults() {
         let (site, _open_door, peer, gateway) = Site::start_with_peer().await;
         Ask::turn("t1", "p1", "first|").send(gateway.front).await;
         site.faults(&faults).await;
-        until("calls go by the peer", async || {
+        until("calls are relayed through the peer", async || {
             !gateway.events("store-relayed").is_empty()
         })
         .await;
@@ -34,10 +34,10 @@
         let ask = Ask::turn("t2", "p1", "second|").previous("t1");
         let answer = ask.send(gateway.front).await;
         assert_eq!((answer.status, answer.is_whole), (200, true), "{name}");
-        // What it recorded by the peer is there for others.
+        // The turn that was recorded through the peer is visible to other hosts.
         let ask = Ask::turn("t3", "p1", "third|").previous("t2");
         assert_eq!(ask.send(peer.front).await.status, 200, "{name}");
-        // It learns of new routes.
+        // The gateway also receives new routes.
         site.declare(5);
         until("the new version is in force", async || {
             let events = gateway.events("routes-in-force");
@@ -48,7 +48,7 @@
 }
 
 #[actix_rt::test]
-async fn a_turn_that_runs_while_its_host_is_turned_away_is_recorded_by_a_peer() {
+async fn a_turn_is_recorded_through_a_peer_if_its_host_loses_the_store_while_it_runs() {
     let (site, _open_door, peer, gateway) = Site::start_with_peer().await;
     let slow = BackendFaults {
         delay_ms: 100,
@@ -57,7 +57,10 @@
     site.endpoint_faults(MODELS, &slow).await;
     let front = gateway.front;
     let turn = actix_rt::spawn(async move { Ask::turn("t1", "p1", "x|").send(front).await });
-    until("the turn runs", async || site.times_run("t1").await == 1).await;
+    until("the turn is running", async || {
+        site.times_run("t1").await == 1
+    })
+    .await;
     site.faults(&StoreFaults::refusing()).await;
     let answer = turn.await.unwrap();
     assert_eq!((answer.status, answer.is_whole), (200, true));
@@ -66,7 +69,7 @@
 }
 
 #[actix_rt::test]
-async fn an_outage_of_the_whole_store_is_told_as_one_by_every_host() {
+async fn every_host_reports_an_outage_of_the_whole_store() {
     let site = Site::start();
     let gateways = site.two_ready_gateways().await;
     for each in &gateways {
@@ -82,7 +85,7 @@
 }
 
 #[actix_rt::test]
-async fn calls_beyond_the_rate_are_sent_again_and_not_by_peers() {
+async fn throttled_calls_are_retried_without_a_relay() {
     let (site, _open_door, _peer, gateway) = Site::start_with_peer().await;
     let throttle = StoreFaults {
         throttle: 3,
@@ -94,8 +97,9 @@
     assert!(gateway.events("store-relayed").is_empty());
 }
 
-/// The pattern of an address that a host of another site has taken: its store has other
-/// rows, and takes writes that are lost for this one.
+/// Guards against lost writes: a host of another deployment may get the address of a peer.
+/// If it relayed calls of this deployment, it would return rows of another store and write
+/// to that store.
 #[actix_rt::test]
 async fn a_call_to_the_store_for_another_process_is_refused() {
     let (_site, gateway) = Site::start_with_gateway().await;
