--- a/gateway/src/pool.rs
+++ b/gateway/src/pool.rs
@@ -1,4 +1,4 @@
-//! Open connections to endpoints that no request uses.
+//! A pool of idle connections to endpoints.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -6,51 +6,53 @@
 use rosebend_state::deployment::EndpointIdentity;
 use rosebend_transport::connection::Connection;
 
-/// Most idle connections kept to one endpoint. A host has a few requests at an
-/// endpoint at once; each connection counts against the endpoint's bound.
+/// Maximum number of idle connections to one endpoint. A host has a few requests at
+/// an endpoint at a time, and each connection counts against the endpoint's limit.
 const MAX_IDLE: usize = 6;
-/// Longest time for which a connection is kept idle, whatever the peer allows.
+/// Maximum time for which a connection is kept idle, even if the peer allows more.
 const MAX_IDLE_TIME: Duration = Duration::from_secs(10);
-/// Time before the peer's own limit at which a connection is not used any
-/// more: a request that crosses the peer's close may have run.
+/// Time before the peer's idle limit from which a connection is no longer used. If the
+/// peer closes the connection while a request is in flight, the request may have run.
 const IDLE_MARGIN: Duration = Duration::from_millis(700);
-/// How long a connection is kept whose peer tells no limit: it may be below a
-/// second.
-const UNTOLD_IDLE_TIME: Duration = Duration::from_millis(300);
+/// Time for which a connection is kept idle if the peer declares no limit. The actual
+/// limit may be less than a second.
+const DEFAULT_IDLE_TIME: Duration = Duration::from_millis(300);
 
+/// An idle connection with its expiry.
 #[derive(Debug)]
-struct Idle {
+struct IdleConnection {
     connection: Connection,
-    until: Duration,
+    /// Time from which the connection is no longer used.
+    expires_at: Duration,
 }
 
-/// Idle connections by the start of an endpoint that they lead to: one that
-/// leads to an earlier start leads nowhere.
+/// The idle connections by the endpoint that they lead to. An endpoint that restarts gets
+/// another identity, because connections to its previous process are unusable.
 #[derive(Debug, Default)]
 pub struct Pool {
-    idle: HashMap<EndpointIdentity, Vec<Idle>>,
+    idle: HashMap<EndpointIdentity, Vec<IdleConnection>>,
 }
 
 impl Pool {
-    /// Takes a connection on which a request may be sent.
+    /// Removes a usable connection to an endpoint from the pool and returns it.
     pub fn take(&mut self, identity: &EndpointIdentity, now: Duration) -> Option<Connection> {
         let idle = self.idle.get_mut(identity)?;
         while let Some(last) = idle.pop() {
-            if now < last.until && last.connection.is_clean() {
+            if now < last.expires_at && last.connection.is_clean() {
                 return Some(last.connection);
             }
         }
         None
     }
 
-    /// Whether a connection to an endpoint is kept whose time is not up.
+    /// Returns whether the pool has a connection to an endpoint that has not expired.
     pub fn has_idle(&self, identity: &EndpointIdentity, now: Duration) -> bool {
         let idle = self.idle.get(identity);
-        idle.is_some_and(|idle| idle.iter().any(|idle| now < idle.until))
+        idle.is_some_and(|idle| idle.iter().any(|idle| now < idle.expires_at))
     }
 
-    /// Keeps a connection whose answer was read whole. `keep_alive` is how long
-    /// the peer says that it keeps it.
+    /// Adds a connection whose last response was read completely. `keep_alive` is the
+    /// time for which the peer keeps an idle connection, if it declares one.
     pub fn put(
         &mut self,
         identity: &EndpointIdentity,
@@ -60,20 +62,23 @@
     ) {
         let keep = match keep_alive {
             Some(limit) => limit.saturating_sub(IDLE_MARGIN).min(MAX_IDLE_TIME),
-            None => UNTOLD_IDLE_TIME,
+            None => DEFAULT_IDLE_TIME,
         };
         let idle = self.idle.entry(identity.clone()).or_default();
         if keep.is_zero() || idle.len() >= MAX_IDLE {
             return;
         }
-        let until = now + keep;
-        idle.push(Idle { connection, until });
+        let expires_at = now + keep;
+        idle.push(IdleConnection {
+            connection,
+            expires_at,
+        });
     }
 
-    /// Closes connections whose time is up or whose endpoint is gone.
+    /// Closes the connections that have expired or whose endpoint is no longer listed.
     pub fn expire(&mut self, now: Duration, is_listed: impl Fn(&EndpointIdentity) -> bool) {
         for idle in self.idle.values_mut() {
-            idle.retain(|idle| now < idle.until);
+            idle.retain(|idle| now < idle.expires_at);
         }
         self.idle
             .retain(|identity, idle| !idle.is_empty() && is_listed(identity));
--- a/gateway/tests/partitions.rs
+++ b/gateway/tests/partitions.rs
@@ -1,5 +1,5 @@
-//! The store refuses one partition and answers for the others: programs there wait
-//! for it, and nobody else notices.
+//! The store refuses one partition and serves the others: only requests of programs in the
+//! refused partition fail.
 
 mod support;
 
@@ -7,7 +7,7 @@
 use rosebend_standin::store::StoreFaults;
 use support::{Ask, Gateway, Site, until};
 
-/// Programs of two partitions.
+/// Returns the names of two programs in different partitions.
 fn programs() -> (String, String) {
     let mut names = (0..).map(|number| format!("p{number}"));
     let first = names.next().unwrap();
@@ -22,8 +22,8 @@
     }
 }
 
-/// Serves turns of a program one after another.
-async fn turns(gateways: &[Gateway], program: &str, name: &str, count: usize) -> Vec<u16> {
+/// Sends turns of a program one after another and returns the statuses of the answers.
+async fn send_turns(gateways: &[Gateway], program: &str, name: &str, count: usize) -> Vec<u16> {
     let mut statuses = Vec::new();
     for number in 0..count {
         let ask =
@@ -34,31 +34,31 @@
     statuses
 }
 
-/// The first turn that a host sends finds out. It runs while its reservation is on
-/// its way, as every turn does.
-async fn find_out(gateway: &Gateway, program: &str) {
+/// Sends a turn to a host that has not tried the refused partition yet. Since a turn runs
+/// while its reservation is in flight, this one may run before the refusal is known.
+async fn trigger_refusal(gateway: &Gateway, program: &str) {
     let ask = Ask::turn("first", program, "x").header("deadline-ms", "200");
     let status = ask.send(gateway.front).await.status;
     assert!([502, 503, 504].contains(&status), "{status}");
 }
 
 #[actix_rt::test]
-async fn a_refused_partition_costs_its_own_programs_alone() {
+async fn a_refused_partition_affects_only_its_own_programs() {
     let site = Site::start();
     let gateways = site.two_ready_gateways().await;
     for gateway in &gateways {
         gateway.until_peers(1).await;
     }
     let (refused, other) = programs();
-    assert_eq!(turns(&gateways, &refused, "a", 2).await, [200, 200]);
+    assert_eq!(send_turns(&gateways, &refused, "a", 2).await, [200, 200]);
     site.faults(&refusing(&partition_of(&refused))).await;
     for gateway in &gateways {
-        find_out(gateway, &refused).await;
+        trigger_refusal(gateway, &refused).await;
     }
     for round in 0..6 {
-        let statuses = turns(&gateways, &refused, &format!("r{round}-"), 2).await;
+        let statuses = send_turns(&gateways, &refused, &format!("r{round}-"), 2).await;
         assert_eq!(statuses, [503, 503]);
-        let statuses = turns(&gateways, &other, &format!("o{round}-"), 6).await;
+        let statuses = send_turns(&gateways, &other, &format!("o{round}-"), 6).await;
         assert_eq!(statuses, [200; 6]);
     }
     for gateway in &gateways {
@@ -68,17 +68,17 @@
     }
     site.faults(&StoreFaults::default()).await;
     until("the partition is served again", async || {
-        turns(&gateways, &refused, "b", 2).await == [200, 200]
+        send_turns(&gateways, &refused, "b", 2).await == [200, 200]
     })
     .await;
 }
 
 #[actix_rt::test]
-async fn a_refused_partition_says_when_to_come_back() {
+async fn answers_for_a_refused_partition_contain_a_retry_time() {
     let (site, gateway) = Site::start_with_gateway().await;
     let (refused, _) = programs();
     site.faults(&refusing(&partition_of(&refused))).await;
-    find_out(&gateway, &refused).await;
+    trigger_refusal(&gateway, &refused).await;
     let ask = Ask::turn("t1", &refused, "x");
     for _ in 0..2 {
         let answer = ask.send(gateway.front).await;
