--- a/gateway/src/peers.rs
+++ b/gateway/src/peers.rs
@@ -193,7 +193,7 @@
     request: Request,
 ) -> Result<Response<BoxBody>, Infallible> {
     let path = request.path().to_owned();
-    let is_for_other_process = is_for_other_process(&gateway, &request);
+    let is_misdirected = is_misdirected(&gateway, &request);
     let Some(outgoing) = read_call(request).await else {
         return Ok(Response::with_body(StatusCode::BAD_REQUEST, ().boxed()));
     };
@@ -204,9 +204,7 @@
         recent_history::ASK_PATH => recent_history::answer(&gateway, &outgoing.body),
         recent_history::KEEP_PATH => recent_history::answer_keep(&gateway, &outgoing.body),
         // The sender may belong to another deployment, which has another store.
-        _ if is_for_other_process => {
-            Response::with_body(StatusCode::MISDIRECTED_REQUEST, ().boxed())
-        }
+        _ if is_misdirected => Response::with_body(StatusCode::MISDIRECTED_REQUEST, ().boxed()),
         _ => {
             let (status, body) = relay_call(&gateway, &outgoing).await;
             let status = StatusCode::from_u16(status).unwrap_or(StatusCode::BAD_GATEWAY);
@@ -217,7 +215,7 @@
 
 /// Returns whether a call is addressed to another process than this one. Calls of hosts
 /// with earlier versions contain no process.
-fn is_for_other_process(gateway: &Gateway, request: &Request) -> bool {
+fn is_misdirected(gateway: &Gateway, request: &Request) -> bool {
     let asked = request.headers().get(ASKED_RUN.as_str());
     asked.is_some_and(|asked| asked.as_bytes() != gateway.commits.process_id().as_bytes())
 }
--- a/gateway/tests/relay.rs
+++ b/gateway/tests/relay.rs
@@ -57,10 +57,7 @@
     site.endpoint_faults(MODELS, &slow).await;
     let front = gateway.front;
     let turn = actix_rt::spawn(async move { Ask::turn("t1", "p1", "x|").send(front).await });
-    until("the turn is running", async || {
-        site.times_run("t1").await == 1
-    })
-    .await;
+    until("the turn runs", async || site.times_run("t1").await == 1).await;
     site.faults(&StoreFaults::refusing()).await;
     let answer = turn.await.unwrap();
     assert_eq!((answer.status, answer.is_whole), (200, true));
