--- a/gateway/src/turn_stream.rs
+++ b/gateway/src/turn_stream.rs
@@ -237,7 +237,7 @@
                 let event = Event::new(EventKind::TurnRecorded).tokens(spending.tokens());
                 self.call.trail.step(event.elapsed(took));
                 self.gateway.history.borrow_mut().insert(Arc::clone(&turn));
-                recent_history::keep(&self.gateway, turn);
+                recent_history::cache_turn(&self.gateway, turn);
                 Ok(())
             }
             Err(_) => Err(io::Error::other("the process stops")),
@@ -281,11 +281,11 @@
 
     /// Takes note of the turn's rows, to delete them with the ledger one day.
     fn keep(&self, program: &str, rows: Vec<RowId>, retention: Duration) {
-        let version = self.gateway.commits.version(program);
+        let version = self.gateway.commits.cached_version(program);
         let retention = retention + self.gateway.settings().retention_margin;
         let now = self.gateway.clock.now();
         self.gateway
             .retention
-            .keep(program, rows, retention, version, now);
+            .add_rows(program, rows, retention, version, now);
     }
 }
--- a/gateway/tests/soak.rs
+++ b/gateway/tests/soak.rs
@@ -48,7 +48,7 @@
 ///   tokens in advance; `budget.rs` tests the case separately.
 /// - 733: turns whose responses had been complete were later refused as unknown while other
 ///   fleets ran on the machine. The address of a dead batcher had been reassigned to a host
-///   of another fleet, which committed the turns to its own store; see `joined_commits.rs`.
+///   of another fleet, which committed the turns to its own store; see `batched_commits.rs`.
 /// - 1002: a program without history could not resume. Hosts in planned stops had named
 ///   successors for their escrow slots that had stopped before, and the program's ledger
 ///   withheld the tokens that these successors may have granted; see `gateway_escrow.rs`.
