--- a/gateway/src/dispatch.rs
+++ b/gateway/src/dispatch.rs
@@ -1,4 +1,5 @@
-//! Every request of a caller: read, given to the code for its route, answered.
+//! Reads each request of a caller, passes it to the code that serves its route, and
+//! responds to it.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -15,18 +16,19 @@
 use crate::reply::{Refusal, Reply};
 use crate::{intake, limits, plain, turn};
 
-/// Answers a request of a caller.
-pub async fn answer(gateway: Rc<Gateway>, request: Request) -> Response<BoxBody> {
+/// Serves a request of a caller.
+pub async fn handle_request(gateway: Rc<Gateway>, request: Request) -> Response<BoxBody> {
     let _open = gateway.open_request();
     let arrived = gateway.clock.now();
     let headers = intake::to_http(request.headers());
     let response = match intake::read(&gateway, request, &headers, arrived).await {
         Ok(call) => serve(&gateway, call).await,
-        Err(refusal) => refuse_unread(&gateway, &headers, refusal, arrived),
+        Err(refusal) => refuse_without_call(&gateway, &headers, refusal, arrived),
     };
     close_if_stopping(&gateway, response)
 }
 
+/// Serves a call, unless it crashes endpoints or exceeds a limit of its customer.
 async fn serve(gateway: &Rc<Gateway>, call: Call) -> Response<BoxBody> {
     let now = gateway.clock.now();
     if gateway.crashes.borrow().is_refused(call.fingerprint, now) {
@@ -38,14 +40,14 @@
     match call.route.kind {
         RouteKind::Streaming => turn::answer(gateway, call).await,
         RouteKind::Idempotent | RouteKind::NonIdempotent => {
-            plain::answer(gateway, &Rc::new(call)).await
+            plain::handle(gateway, &Rc::new(call)).await
         }
     }
 }
 
-/// Answers a request that cannot be served, of which no more than its headers
-/// is known.
-fn refuse_unread(
+/// Refuses a request for which no [`Call`] could be created, so that only its
+/// headers are available.
+fn refuse_without_call(
     gateway: &Gateway,
     headers: &HeaderMap,
     refusal: Refusal,
@@ -66,7 +68,8 @@
     Reply::Problem(refusal).into_response()
 }
 
-/// A process that stops takes no further request on a connection.
+/// Closes the connection after the response if the process is stopping, so that no
+/// further request arrives on it.
 fn close_if_stopping(gateway: &Gateway, mut response: Response<BoxBody>) -> Response<BoxBody> {
     if gateway.is_stopping() {
         response
--- a/gateway/src/exchange.rs
+++ b/gateway/src/exchange.rs
@@ -1,5 +1,5 @@
-//! A request at an endpoint, until the head of its answer is there; over
-//! several endpoints where that is allowed.
+//! Sends a request to an endpoint and receives the head of the response. After a
+//! failure the request is sent to another endpoint, if its route allows that.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -21,100 +21,112 @@
 use crate::quarantine;
 use crate::reply::Refusal;
 
-/// An endpoint's answer whose body is still to come.
+/// A response of an endpoint whose body has not been read yet.
 #[derive(Debug)]
-pub struct Exchanged {
+pub struct EndpointResponse {
     /// Status, headers and body.
     pub response: Response<Incoming>,
-    /// What its headers say.
+    /// Decoded headers of the response.
     pub header: AnswerHeader,
-    /// The connection, which is closed when this is dropped.
+    /// Connection that carries the body. Dropping it closes the connection.
     pub connection: Connection,
-    /// Counts the request at the endpoint.
-    pub at: AtEndpoint,
-    /// When the request was sent.
-    pub sent: Duration,
+    /// Guard that counts the request as in flight at the endpoint.
+    pub in_flight: AtEndpoint,
+    /// Time at which the request was sent, since the start of the process.
+    pub sent_at: Duration,
 }
 
-/// An endpoint that may have a request's prompt in memory.
+/// An endpoint that may have a part of a request's prompt in its cache.
 #[derive(Clone, Debug)]
-pub struct Warm {
-    /// The start of the endpoint; a later one has nothing in memory.
+pub struct WarmEndpoint {
+    /// Incarnation of the endpoint. A later incarnation starts with an empty cache.
     pub endpoint: EndpointIdentity,
-    /// Tokens of the prompt that it may have.
+    /// Number of prompt tokens that may be cached.
     pub tokens: u64,
 }
 
-/// Sends a call to endpoints until one answers.
+/// Sends a call to one endpoint after another until one responds.
 #[derive(Debug)]
 pub struct Exchange {
     gateway: Rc<Gateway>,
     call: Rc<Call>,
     body: Bytes,
-    warm: Option<Warm>,
+    warm: Option<WarmEndpoint>,
     attempt: Attempt,
-    asked: Vec<EndpointIdentity>,
-    /// The event of a stream after which endpoints are to go on.
+    /// Endpoints to which the call was already sent.
+    tried_endpoints: Vec<EndpointIdentity>,
+    /// Last event of the stream that the caller has. The next endpoint resumes the
+    /// stream after it.
     last_event: Option<EventId>,
 }
 
 impl Exchange {
-    /// A call that was not sent yet. `body` is what endpoints are given; `warm`
-    /// is the endpoint that may have it in memory.
-    pub fn new(gateway: &Rc<Gateway>, call: &Rc<Call>, body: Bytes, warm: Option<Warm>) -> Self {
+    /// Creates the exchange for a call that was not sent yet. `body` is the body
+    /// that is sent to endpoints; `warm` is the endpoint that may have it in its
+    /// cache.
+    pub fn new(
+        gateway: &Rc<Gateway>,
+        call: &Rc<Call>,
+        body: Bytes,
+        warm: Option<WarmEndpoint>,
+    ) -> Self {
         Self {
             gateway: Rc::clone(gateway),
             call: Rc::clone(call),
             body,
             warm,
             attempt: Attempt::default(),
-            asked: Vec::new(),
+            tried_endpoints: Vec::new(),
             last_event: call.resumes_after(),
         }
     }
 
-    /// Lets the endpoint that is asked next go on after an event.
-    pub fn go_on_after(&mut self, last: EventId) {
+    /// Sets the event after which the next endpoint resumes the stream.
+    pub fn set_last_event(&mut self, last: EventId) {
         self.last_event = Some(last);
     }
 
-    /// How long the stream of the present endpoint may be silent before another
-    /// one is asked; none where that is not allowed.
+    /// Returns the time without data after which the current endpoint's stream is
+    /// resumed at another endpoint, or `None` if the request may not run at another
+    /// one.
     pub fn timeout(&self) -> Option<Duration> {
         self.attempt.idle_timeout(&self.call.route)
     }
 
-    /// The next answer that may be passed on.
+    /// Returns the next response that may be forwarded to the caller.
     ///
     /// # Errors
     ///
-    /// Tells what to say to the caller when no endpoint is to be asked any
-    /// more.
-    pub async fn next(&mut self) -> Result<Exchanged, Refusal> {
+    /// Returns the refusal for the caller if no further endpoint may be tried.
+    pub async fn next(&mut self) -> Result<EndpointResponse, Refusal> {
         loop {
-            let Some(endpoint) = self.choose() else {
+            let Some(endpoint) = self.select_endpoint() else {
                 return Err(self.no_endpoint_left());
             };
-            match self.try_at(&endpoint).await {
-                Ok(exchanged) => return Ok(exchanged),
-                Err(failure) => self.failed(&endpoint.identity, failure)?,
+            match self.try_endpoint(&endpoint).await {
+                Ok(endpoint_response) => return Ok(endpoint_response),
+                Err(failure) => self.handle_failure(&endpoint.identity, failure)?,
             }
         }
     }
 
-    /// Takes note of a failure and decides whether to go on.
+    /// Records a failure and decides whether another endpoint may be tried.
     ///
     /// # Errors
     ///
-    /// Tells what to say to the caller when no other endpoint is to be asked.
-    pub fn failed(&mut self, endpoint: &EndpointIdentity, failure: Failure) -> Result<(), Refusal> {
+    /// Returns the refusal for the caller if no further endpoint may be tried.
+    pub fn handle_failure(
+        &mut self,
+        endpoint: &EndpointIdentity,
+        failure: Failure,
+    ) -> Result<(), Refusal> {
         if failure == Failure::Broken {
             quarantine::examine(&self.gateway, &self.call, endpoint);
         }
         let now = self.gateway.clock.now();
-        let left = self.call.left(now);
-        self.note_failure(endpoint, failure, now);
-        match self.attempt.next_step(&self.call.route, failure, left) {
+        let remaining = self.call.left(now);
+        self.report_failure(endpoint, failure, now);
+        match self.attempt.next_step(&self.call.route, failure, remaining) {
             NextStep::TryAnother => Ok(()),
             NextStep::Refuse => Err(Refusal::NoRoom),
             NextStep::UnknownOutcome => Err(Refusal::OutcomeUnknown),
@@ -122,7 +134,9 @@
         }
     }
 
-    fn note_failure(&self, endpoint: &EndpointIdentity, failure: Failure, now: Duration) {
+    /// Counts and logs a failure, and starts the endpoint's backoff unless the
+    /// endpoint only refused the request.
+    fn report_failure(&self, endpoint: &EndpointIdentity, failure: Failure, now: Duration) {
         self.gateway.metrics.count_failure(failure);
         let event = Event::new(EventKind::EndpointFailed).endpoint(&endpoint.instance);
         let event = event
@@ -132,17 +146,18 @@
         if failure == Failure::Refused {
             return;
         }
-        let avoided = self
+        let backoff = self
             .gateway
             .directory
             .borrow_mut()
             .record_failure(endpoint, now);
-        if let Some(avoided) = avoided {
+        if let Some(backoff) = backoff {
             let event = Event::new(EventKind::EndpointAvoided).endpoint(&endpoint.instance);
-            log_event(&event.wait_ms(whole_ms(avoided)).reason(failure.as_str()));
+            log_event(&event.wait_ms(whole_ms(backoff)).reason(failure.as_str()));
         }
     }
 
+    /// Returns the refusal for a call that no further endpoint accepts.
     fn no_endpoint_left(&self) -> Refusal {
         match self.attempt.may_have_run() {
             true => Refusal::OutcomeUnknown,
@@ -150,12 +165,13 @@
         }
     }
 
-    fn choose(&mut self) -> Option<EndpointRecord> {
+    /// Selects the endpoint with the lowest cost among those not tried yet.
+    fn select_endpoint(&mut self) -> Option<EndpointRecord> {
         let query = EndpointQuery {
             warm_endpoint: self.warm.as_ref().map(|warm| &warm.endpoint),
             warm_tokens: self.warm.as_ref().map_or(0, |warm| warm.tokens),
             is_turn: self.call.route.kind == RouteKind::Streaming,
-            tried: &self.asked,
+            tried: &self.tried_endpoints,
             jitter_key: &self.call.header.attempt,
         };
         let now = self.gateway.clock.now();
@@ -177,51 +193,56 @@
             false => event,
         });
         let endpoint = chosen.record.clone();
-        self.asked.push(endpoint.identity.clone());
+        self.tried_endpoints.push(endpoint.identity.clone());
         Some(endpoint)
     }
 
-    async fn try_at(&self, endpoint: &EndpointRecord) -> Result<Exchanged, Failure> {
-        let at = self.gateway.begin_at(&endpoint.identity);
-        let left = self.call.left(self.gateway.clock.now());
-        let exchanging = self.exchange(endpoint, at);
-        let timeout = self.timeout().unwrap_or(left);
-        let exchanged = tokio::time::timeout(left.min(timeout), exchanging).await;
-        exchanged.unwrap_or(Err(match timeout < left {
+    /// Sends the request to an endpoint and receives the head of the response
+    /// within the time limit.
+    async fn try_endpoint(&self, endpoint: &EndpointRecord) -> Result<EndpointResponse, Failure> {
+        let in_flight = self.gateway.begin_at(&endpoint.identity);
+        let remaining = self.call.left(self.gateway.clock.now());
+        let exchanging = self.send_request(endpoint, in_flight);
+        let timeout = self.timeout().unwrap_or(remaining);
+        let endpoint_response = tokio::time::timeout(remaining.min(timeout), exchanging).await;
+        endpoint_response.unwrap_or(Err(match timeout < remaining {
             true => Failure::Stalled,
             false => Failure::TimedOut,
         }))
     }
 
-    async fn exchange(
+    /// Sends the request to an endpoint and receives and checks the head of the
+    /// response.
+    async fn send_request(
         &self,
         endpoint: &EndpointRecord,
-        at: AtEndpoint,
-    ) -> Result<Exchanged, Failure> {
+        in_flight: AtEndpoint,
+    ) -> Result<EndpointResponse, Failure> {
         let mut connection = self.connect(endpoint).await?;
-        let sent = self.gateway.clock.now();
-        let request = self.request(endpoint, sent);
-        let response = connection.send(request).await.map_err(failure_of)?;
+        let sent_at = self.gateway.clock.now();
+        let request = self.build_request(endpoint, sent_at);
+        let response = connection.send(request).await.map_err(connection_failure)?;
         let header = headers::decode_answer(response.headers());
-        let elapsed = self.gateway.clock.now().saturating_sub(sent);
+        let elapsed = self.gateway.clock.now().saturating_sub(sent_at);
         let event = Event::new(EventKind::AnswerBegan).endpoint(&endpoint.identity.instance);
         let event = event.status(response.status().as_u16()).elapsed(elapsed);
         self.call.trail.step(event);
-        self.check(&response, &header, endpoint)?;
+        self.check_response(&response, &header, endpoint)?;
         if self.call.route.kind == RouteKind::Streaming {
             let now = self.gateway.clock.now();
             let mut admission = self.gateway.admission.borrow_mut();
             admission.record_first_byte(&self.call.service, elapsed, now);
         }
-        Ok(Exchanged {
+        Ok(EndpointResponse {
             response,
             header,
             connection,
-            at,
-            sent,
+            in_flight,
+            sent_at,
         })
     }
 
+    /// Takes an idle connection from the pool, or opens one.
     async fn connect(&self, endpoint: &EndpointRecord) -> Result<Connection, Failure> {
         let now = self.gateway.clock.now();
         let pooled = self.gateway.pool.borrow_mut().take(&endpoint.identity, now);
@@ -229,27 +250,36 @@
             Some(connection) => Ok(connection),
             None => {
                 self.gateway.metrics.count_connection();
-                Connection::open(endpoint.address).await.map_err(failure_of)
+                Connection::open(endpoint.address)
+                    .await
+                    .map_err(connection_failure)
             }
         }
     }
 
-    fn request(&self, endpoint: &EndpointRecord, now: Duration) -> Request<Full<Bytes>> {
+    /// Builds the request for an endpoint, with the time that remains before the
+    /// deadline.
+    fn build_request(&self, endpoint: &EndpointRecord, now: Duration) -> Request<Full<Bytes>> {
         let mut request = Request::new(Full::new(self.body.clone()));
         *request.method_mut() = self.call.method.clone();
-        // The target came from a request line, so it is one.
+        // The target was parsed from a request line, so it is a valid URI.
         *request.uri_mut() = self.call.target.parse().unwrap_or_default();
         *request.headers_mut() = self.call.headers.clone();
-        let left = self.call.left(now);
-        headers::address_to(request.headers_mut(), &endpoint.identity.instance, left);
+        let remaining = self.call.left(now);
+        headers::address_to(
+            request.headers_mut(),
+            &endpoint.identity.instance,
+            remaining,
+        );
         if self.call.route.kind == RouteKind::Streaming {
             headers::resume_after(request.headers_mut(), self.last_event);
         }
         request
     }
 
-    /// Whether an answer is one to this request that may be passed on.
-    fn check(
+    /// Checks that a response belongs to this request and may be forwarded to the
+    /// caller. Records the load report that it carries.
+    fn check_response(
         &self,
         response: &Response<Incoming>,
         header: &AnswerHeader,
@@ -261,32 +291,33 @@
             directory.record_report(&endpoint.identity, load, now);
         }
         let status = response.status().as_u16();
-        let is_other = header.attempt.as_ref() != Some(&self.call.header.attempt);
-        if is_other && header.attempt.is_some() {
+        let is_mismatched = header.attempt.as_ref() != Some(&self.call.header.attempt);
+        if is_mismatched && header.attempt.is_some() {
             return Err(Failure::Broken);
         }
         if header.not_run || status == 421 {
             directory.record_rejection(&endpoint.identity, now);
             return Err(Failure::Refused);
         }
-        let is_unproven = is_other || header.encoded || !header.stamped;
-        if response.status().is_success() && is_unproven {
+        let is_unverified = is_mismatched || header.encoded || !header.stamped;
+        if response.status().is_success() && is_unverified {
             return Err(Failure::Broken);
         }
         Ok(())
     }
 }
 
-fn failure_of(error: ConnectionError) -> Failure {
+/// Converts a connection error into the failure of the exchange.
+fn connection_failure(error: ConnectionError) -> Failure {
     match error {
         ConnectionError::Connect(_) | ConnectionError::NotSent(_) => Failure::NotSent,
         ConnectionError::Broken(_) => Failure::Broken,
     }
 }
 
-impl Exchanged {
-    /// Gives the connection back after the whole body was read.
-    pub fn keep_connection(
+impl EndpointResponse {
+    /// Returns the connection to the pool after the whole body was read.
+    pub fn return_connection(
         gateway: &Gateway,
         endpoint: &EndpointIdentity,
         connection: Connection,
--- a/gateway/src/front.rs
+++ b/gateway/src/front.rs
@@ -134,7 +134,7 @@
 fn caller_service(gateway: Rc<Gateway>, limits: Limits, closing: watch::Receiver<bool>) -> Serve {
     let handler = move |request: Request| {
         let gateway = Rc::clone(&gateway);
-        async move { Ok::<_, Infallible>(dispatch::answer(gateway, request).await) }
+        async move { Ok::<_, Infallible>(dispatch::handle_request(gateway, request).await) }
     };
     serve_with(handler, limits, closing)
 }
--- a/gateway/src/plain.rs
+++ b/gateway/src/plain.rs
@@ -1,4 +1,5 @@
-//! Requests whose answer is whole before it is passed on.
+//! Serves requests that are not turns of programs. The response is read completely
+//! before it is forwarded, so an incomplete one is never forwarded.
 
 use std::rc::Rc;
 
@@ -10,18 +11,18 @@
 use rosebend_platform::headers;
 
 use crate::call::{self, Call};
-use crate::exchange::{Exchange, Exchanged};
+use crate::exchange::{EndpointResponse, Exchange};
 use crate::gateway::Gateway;
 use crate::metrics::Timing;
 use crate::reply::{Refusal, Reply};
 
-/// Largest answer that is held before it is passed on.
-const MAX_ANSWER_BYTES: usize = 8 << 20;
+/// Maximum size of a response body, which is held in memory until it is complete.
+const MAX_RESPONSE_BYTES: usize = 8 << 20;
 
-/// Answers a plain request.
-pub async fn answer(gateway: &Rc<Gateway>, call: &Rc<Call>) -> Response<BoxBody> {
+/// Serves a request that is not a turn of a program.
+pub async fn handle(gateway: &Rc<Gateway>, call: &Rc<Call>) -> Response<BoxBody> {
     let mut exchange = Exchange::new(gateway, call, call.body.clone(), None);
-    match run(gateway, call, &mut exchange).await {
+    match fetch_response(gateway, call, &mut exchange).await {
         Ok(reply) => {
             let elapsed = call.elapsed(gateway.clock.now());
             gateway.metrics.observe(Timing::Request, elapsed);
@@ -31,40 +32,41 @@
     }
 }
 
-async fn run(
+/// Sends the request to endpoints until one of them responds completely.
+async fn fetch_response(
     gateway: &Rc<Gateway>,
     call: &Call,
     exchange: &mut Exchange,
 ) -> Result<Reply, Refusal> {
     loop {
-        let exchanged = exchange.next().await?;
-        let endpoint = exchanged.at.endpoint.clone();
-        match read_whole(gateway, call, exchanged).await {
+        let endpoint_response = exchange.next().await?;
+        let endpoint = endpoint_response.in_flight.endpoint.clone();
+        match read_response(gateway, call, endpoint_response).await {
             Ok(reply) => return Ok(reply),
-            Err(failure) => exchange.failed(&endpoint, failure)?,
+            Err(failure) => exchange.handle_failure(&endpoint, failure)?,
         }
     }
 }
 
-/// Reads the body of an answer and gives the connection back. A body that is
-/// cut short is never passed on.
-pub async fn read_whole(
+/// Reads the body of a response and returns the connection to the pool. Fails if
+/// the body is incomplete or too large, or if the deadline passes.
+pub async fn read_response(
     gateway: &Rc<Gateway>,
     call: &Call,
-    exchanged: Exchanged,
+    endpoint_response: EndpointResponse,
 ) -> Result<Reply, Failure> {
-    let left = call.left(gateway.clock.now());
-    let (head, body) = exchanged.response.into_parts();
-    let reading = Limited::new(body, MAX_ANSWER_BYTES).collect();
-    let body = tokio::time::timeout(left, reading).await;
+    let remaining = call.left(gateway.clock.now());
+    let (head, body) = endpoint_response.response.into_parts();
+    let reading = Limited::new(body, MAX_RESPONSE_BYTES).collect();
+    let body = tokio::time::timeout(remaining, reading).await;
     let body: Bytes = match body {
         Err(_) => return Err(Failure::TimedOut),
         Ok(Err(_)) => return Err(Failure::Broken),
         Ok(Ok(body)) => body.to_bytes(),
     };
-    let endpoint = &exchanged.at.endpoint;
+    let endpoint = &endpoint_response.in_flight.endpoint;
     let now = gateway.clock.now();
-    let latency = now.saturating_sub(exchanged.sent);
+    let latency = now.saturating_sub(endpoint_response.sent_at);
     gateway
         .directory
         .borrow_mut()
@@ -76,7 +78,12 @@
         .served(&endpoint.instance, status, elapsed, in_time);
     gateway.metrics.count_request(call.route.kind, "answered");
     gateway.crashes.borrow_mut().clear(call.fingerprint);
-    Exchanged::keep_connection(gateway, endpoint, exchanged.connection, &exchanged.header);
+    EndpointResponse::return_connection(
+        gateway,
+        endpoint,
+        endpoint_response.connection,
+        &endpoint_response.header,
+    );
     Ok(Reply::Passed {
         status,
         headers: headers::for_caller(&head.headers),
--- a/gateway/src/runs.rs
+++ b/gateway/src/runs.rs
@@ -20,7 +20,7 @@
 use rosebend_transport::event::{Event, EventKind};
 
 use crate::call::Call;
-use crate::exchange::{Exchange, Exchanged};
+use crate::exchange::{EndpointResponse, Exchange};
 use crate::gateway::{AtEndpoint, Gateway};
 use crate::reply::Refusal;
 
@@ -67,7 +67,7 @@
         gateway: &Rc<Gateway>,
         call: &Rc<Call>,
         exchange: Exchange,
-        exchanged: Exchanged,
+        exchanged: EndpointResponse,
     ) -> Self {
         let (head, run) = Run::begin(exchanged);
         Self {
@@ -95,7 +95,12 @@
     pub fn keep_connection(&mut self) {
         if let Some(connection) = self.run.connection.take() {
             let endpoint = &self.run.at.endpoint;
-            Exchanged::keep_connection(&self.gateway, endpoint, connection, &self.run.header);
+            EndpointResponse::return_connection(
+                &self.gateway,
+                endpoint,
+                connection,
+                &self.run.header,
+            );
         }
     }
 
@@ -153,12 +158,14 @@
         // The endpoint stops its work when its connection closes.
         self.run.connection = None;
         let endpoint = self.run.at.endpoint.clone();
-        self.exchange.failed(&endpoint, failure).map_err(cut)?;
+        self.exchange
+            .handle_failure(&endpoint, failure)
+            .map_err(cut)?;
         let point = self.series.as_mut().map(EventSeries::discard_partial);
         match point {
             None | Some(ResumePoint::Impossible) => return Err(cut(Refusal::OutcomeUnknown)),
             Some(ResumePoint::FromStart) => {}
-            Some(ResumePoint::After(last)) => self.exchange.go_on_after(last),
+            Some(ResumePoint::After(last)) => self.exchange.set_last_event(last),
         }
         let (head, run) = self.next_run().await?;
         let event = Event::new(EventKind::StreamResumed).endpoint(&run.at.endpoint.instance);
@@ -179,23 +186,25 @@
             if exchanged.response.status().is_success() {
                 return Ok(Run::begin(exchanged));
             }
-            let endpoint = exchanged.at.endpoint.clone();
+            let endpoint = exchanged.in_flight.endpoint.clone();
             drop(exchanged);
             let failure = Failure::Broken;
-            self.exchange.failed(&endpoint, failure).map_err(cut)?;
+            self.exchange
+                .handle_failure(&endpoint, failure)
+                .map_err(cut)?;
         }
     }
 }
 
 impl Run {
-    fn begin(exchanged: Exchanged) -> (Parts, Self) {
+    fn begin(exchanged: EndpointResponse) -> (Parts, Self) {
         let (head, body) = exchanged.response.into_parts();
         let run = Self {
             body,
             connection: Some(exchanged.connection),
             header: exchanged.header,
-            at: exchanged.at,
-            sent: exchanged.sent,
+            at: exchanged.in_flight,
+            sent: exchanged.sent_at,
             has_begun: false,
         };
         (head, run)
--- a/gateway/src/turn.rs
+++ b/gateway/src/turn.rs
@@ -15,7 +15,7 @@
 use rosebend_state::deployment::ProgramHeader;
 
 use crate::call::{self, Call};
-use crate::exchange::{Exchange, Exchanged, Warm};
+use crate::exchange::{EndpointResponse, Exchange, WarmEndpoint};
 use crate::gateway::Gateway;
 use crate::plain;
 use crate::programs;
@@ -46,7 +46,7 @@
     let (prompt, warm) = match history.as_ref().and_then(|record| record.previous.as_ref()) {
         Some(turn) => (
             Bytes::from(turn.prompt(&call.body)),
-            Some(Warm {
+            Some(WarmEndpoint {
                 endpoint: turn.endpoint.clone(),
                 tokens: turn.tokens,
             }),
@@ -117,16 +117,16 @@
     is_counted.then_some(program)
 }
 
-fn is_stream(exchanged: &Exchanged) -> bool {
+fn is_stream(exchanged: &EndpointResponse) -> bool {
     exchanged.response.status().is_success()
 }
 
 async fn pass_failure(
     gateway: &Rc<Gateway>,
     call: &Call,
-    exchanged: Exchanged,
+    exchanged: EndpointResponse,
 ) -> Result<Response<BoxBody>, Refusal> {
-    match plain::read_whole(gateway, call, exchanged).await {
+    match plain::read_response(gateway, call, exchanged).await {
         Ok(reply) => Ok(reply.into_response()),
         Err(_) => Err(Refusal::OutcomeUnknown),
     }
--- a/gateway/src/turn_stream.rs
+++ b/gateway/src/turn_stream.rs
@@ -17,7 +17,7 @@
 use rosebend_transport::event::{Event, EventKind, log_event};
 
 use crate::call::Call;
-use crate::exchange::{Exchange, Exchanged};
+use crate::exchange::{EndpointResponse, Exchange};
 use crate::gateway::{Gateway, OpenRequest};
 use crate::metrics::Timing;
 use crate::recent_history;
@@ -84,7 +84,7 @@
     gateway: &Rc<Gateway>,
     call: &Rc<Call>,
     exchange: Exchange,
-    exchanged: Exchanged,
+    exchanged: EndpointResponse,
     kept: Kept,
 ) -> Result<Response<BoxBody>, Refusal> {
     let mut stream = TurnStream {
