--- a/gateway/src/exchange.rs
+++ b/gateway/src/exchange.rs
@@ -121,7 +121,7 @@
         failure: Failure,
     ) -> Result<(), Refusal> {
         if failure == Failure::Broken {
-            quarantine::examine(&self.gateway, &self.call, endpoint);
+            quarantine::spawn_crash_check(&self.gateway, &self.call, endpoint);
         }
         let now = self.gateway.clock.now();
         let remaining = self.call.left(now);
--- a/gateway/src/quarantine.rs
+++ b/gateway/src/quarantine.rs
@@ -1,8 +1,10 @@
-//! Requests that crash endpoints, told between hosts through the store.
+//! Detects requests that crash endpoints, and shares the crashes between hosts through
+//! the store.
 //!
-//! When an answer breaks off and its endpoint then refuses connections, the
-//! endpoint has crashed and each request that it ran is suspected. A suspicion
-//! is a row; every host follows the rows.
+//! If a response breaks off and its endpoint then refuses connections, the endpoint
+//! has crashed, and each request that it was running may be the cause. Each such pair
+//! of a request and a crash is written to the store as a row, and every host follows
+//! these rows.
 
 use std::io::ErrorKind;
 use std::rc::Rc;
@@ -17,28 +19,29 @@
 use crate::feeds::FollowedTable;
 use crate::gateway::Gateway;
 
-/// Table of suspicions.
+/// Table with one row for each crash that a request may have caused.
 const TABLE: &str = FollowedTable::Crashes.name();
-/// Pause after a failure.
+/// Delay before the store is read again after an error.
 const RETRY_PAUSE: Duration = Duration::from_millis(500);
-/// Separates the request from the endpoint in a key.
+/// Separator between the fingerprint of the request and the endpoint in a row key.
 const SEPARATOR: char = '/';
 
-/// Finds out, beside the traffic, whether an endpoint whose answer broke off
-/// has crashed, and if so suspects the request.
-pub fn examine(gateway: &Rc<Gateway>, call: &Call, endpoint: &EndpointIdentity) {
+/// Starts a background task that checks whether an endpoint whose response broke off
+/// has crashed, and if so records the crash for the request.
+pub fn spawn_crash_check(gateway: &Rc<Gateway>, call: &Call, endpoint: &EndpointIdentity) {
     let gateway = Rc::clone(gateway);
     let (request, endpoint) = (call.fingerprint, endpoint.clone());
     actix_rt::spawn(async move {
         if has_crashed(&gateway, &endpoint).await {
-            suspect(&gateway, request, &endpoint).await;
+            record_suspected_crash(&gateway, request, &endpoint).await;
         }
     });
 }
 
-/// A start has ended when another one has begun under the same id. A machine
-/// that runs without the endpoint refuses a connection at once; one that is cut
-/// off does not answer.
+/// Returns true if an incarnation of an endpoint has crashed. It has ended if a later
+/// incarnation with the same id is listed, or if its address refuses connections: a
+/// machine that runs without the endpoint refuses a connection at once, while an
+/// unreachable machine does not respond.
 async fn has_crashed(gateway: &Gateway, endpoint: &EndpointIdentity) -> bool {
     if gateway.directory.borrow().has_restarted(endpoint) {
         return true;
@@ -53,8 +56,14 @@
     }
 }
 
-async fn suspect(gateway: &Rc<Gateway>, request: Fingerprint, endpoint: &EndpointIdentity) {
-    note(gateway, request, endpoint);
+/// Counts a crash against a request and writes it to the store, and deletes the row
+/// after the time for which a crash counts.
+async fn record_suspected_crash(
+    gateway: &Rc<Gateway>,
+    request: Fingerprint,
+    endpoint: &EndpointIdentity,
+) {
+    count_crash(gateway, request, endpoint);
     let row = RowId::new(TABLE, "", format!("{request:016x}{SEPARATOR}{endpoint}"));
     let write = RowWrite {
         row: row.clone(),
@@ -64,18 +73,21 @@
         writes: vec![write],
         ..Transaction::default()
     };
-    // This host knows it anyway; others learn of the next crash.
+    // An error is ignored: this host has already counted the crash, and the other hosts
+    // can still count the next one.
     let _ = gateway.store.transact(&transaction).await;
     tokio::time::sleep(CRASH_RETENTION).await;
     let transaction = Transaction {
         deletes: vec![row],
         ..Transaction::default()
     };
-    // A row that stays is not held against a request any more.
+    // An error is ignored: hosts that have counted the crash no longer do so, even if the
+    // row remains.
     let _ = gateway.store.transact(&transaction).await;
 }
 
-fn note(gateway: &Gateway, request: Fingerprint, endpoint: &EndpointIdentity) {
+/// Counts a crash against a request, and logs when the request becomes refused.
+fn count_crash(gateway: &Gateway, request: Fingerprint, endpoint: &EndpointIdentity) {
     let now = gateway.clock.now();
     let mut crashes = gateway.crashes.borrow_mut();
     let was_refused = crashes.is_refused(request, now);
@@ -86,25 +98,27 @@
     }
 }
 
-/// Follows other hosts' suspicions, for ever.
+/// Follows the crashes that other hosts write to the store. Never returns.
 pub async fn follow(gateway: Rc<Gateway>) {
     loop {
         match gateway.feeds.next(FollowedTable::Crashes).await {
-            Ok(followed) => take(&gateway, &followed.rows),
-            // The client has logged that the store is lost.
+            Ok(followed) => apply_rows(&gateway, &followed.rows),
+            // The store client has already logged that the store is unreachable.
             Err(_) => tokio::time::sleep(RETRY_PAUSE).await,
         }
     }
 }
 
-fn take(gateway: &Gateway, rows: &[Row]) {
+/// Counts the crashes of the rows that were not deleted.
+fn apply_rows(gateway: &Gateway, rows: &[Row]) {
     for row in rows.iter().filter(|row| row.value.is_some()) {
         if let Some((request, endpoint)) = decode(row) {
-            note(gateway, request, &endpoint);
+            count_crash(gateway, request, &endpoint);
         }
     }
 }
 
+/// Decodes the key of a row; `None` if the key has another form.
 fn decode(row: &Row) -> Option<(Fingerprint, EndpointIdentity)> {
     let (request, endpoint) = row.id.key.split_once(SEPARATOR)?;
     let request = Fingerprint::from_str_radix(request, 16).ok()?;
