--- a/gateway/src/entries.rs
+++ b/gateway/src/entries.rs
@@ -1,5 +1,6 @@
-//! Entries of the table of endpoints, by whichever writer: what they change for
-//! the choice of endpoints, and what is logged of those that name none.
+//! Applies the entries of the endpoint table to the directory of endpoints, and logs
+//! the entries that describe no usable endpoint. Other writers than endpoints may
+//! write to the table, so an entry may have any content.
 
 use std::collections::HashSet;
 use std::time::Duration;
@@ -12,38 +13,41 @@
 
 use crate::gateway::Gateway;
 
-/// How long after an outage an entry that vanished counts as lapsed in it.
-const LAPSE_SPAN: Duration = Duration::from_secs(2);
-/// Endpoints that are told one by one when a whole table is read. All hosts tell the
-/// same, and the first read has every endpoint.
+/// Time after an outage of the store within which a missing entry counts as expired
+/// in the outage.
+const OUTAGE_LAPSE_WINDOW: Duration = Duration::from_secs(2);
+/// Maximum number of added endpoints that are logged one by one when the whole table
+/// is read. All hosts log the same endpoints, and the first read adds every endpoint.
 const MAX_LISTED_LINES: usize = 16;
-/// Reason of an entry whose service nobody has declared.
-const UNDECLARED: &str = "service";
-/// How the refusal of an entry ended: it names an endpoint now.
-const GOOD: &str = "good";
-/// How the refusal of an entry ended: it was deleted.
-const GONE: &str = "gone";
+/// Reason code of an entry whose service operators have not declared.
+const UNDECLARED_SERVICE: &str = "service";
+/// Reason code for the end of a refusal: the entry describes a usable endpoint now.
+const VALID: &str = "good";
+/// Reason code for the end of a refusal: the entry was deleted.
+const DELETED: &str = "gone";
 
-/// Takes the rows of a whole read.
-pub fn take_all(gateway: &Gateway, rows: &[Row]) {
+/// Applies the rows of a complete read of the table.
+pub fn apply_table(gateway: &Gateway, rows: &[Row]) {
     let mut records = Vec::new();
     let mut refused = Vec::new();
     for row in rows {
-        match read_entry(row) {
+        match decode_entry(row) {
             Entry::Endpoint(record) => records.push(record),
-            Entry::Refused(error) => {
-                note_refusal(gateway, &row.id.key, error.word(), Some(&error));
+            Entry::Invalid(error) => {
+                report_refusal(gateway, &row.id.key, error.word(), Some(&error));
                 refused.push(row.id.key.clone());
             }
-            Entry::Gone => {}
+            Entry::Deleted => {}
         }
     }
     let listed = rows.iter().map(|row| row.id.key.as_str());
     let listed: HashSet<&str> = listed.collect();
     let ended = gateway.refusals.borrow_mut().retain(&listed);
-    ended.iter().for_each(|instance| log_end(instance, GONE));
+    ended
+        .iter()
+        .for_each(|instance| log_refusal_end(instance, DELETED));
     for record in &records {
-        end_refusal(gateway, &record.identity.instance, GOOD);
+        clear_refusal(gateway, &record.identity.instance, VALID);
     }
     let now = gateway.clock.now();
     let in_outage = is_in_outage(gateway);
@@ -53,7 +57,7 @@
         .iter()
         .partition(|(_, change)| *change == ListingChange::Added);
     for (instance, change) in listed.iter().take(MAX_LISTED_LINES).chain(&others) {
-        log_listing(instance, *change);
+        log_listing_change(instance, *change);
     }
     if listed.len() > MAX_LISTED_LINES {
         let event = Event::new(EventKind::EndpointListed).reason("others");
@@ -61,110 +65,122 @@
     }
 }
 
-/// Takes a row of a feed.
-pub fn take(gateway: &Gateway, row: &Row) {
+/// Applies a changed row of the table.
+pub fn apply_row(gateway: &Gateway, row: &Row) {
     let instance = &row.id.key;
     let now = gateway.clock.now();
     let in_outage = is_in_outage(gateway);
-    let change = match read_entry(row) {
+    let change = match decode_entry(row) {
         Entry::Endpoint(record) => {
-            end_refusal(gateway, instance, GOOD);
+            clear_refusal(gateway, instance, VALID);
             gateway.directory.borrow_mut().apply_entry(record, now)
         }
-        Entry::Refused(error) => {
-            note_refusal(gateway, instance, error.word(), Some(&error));
+        Entry::Invalid(error) => {
+            report_refusal(gateway, instance, error.word(), Some(&error));
             gateway.directory.borrow_mut().mark_invalid(instance);
             None
         }
-        Entry::Gone => {
-            end_refusal(gateway, instance, GONE);
+        Entry::Deleted => {
+            clear_refusal(gateway, instance, DELETED);
             let mut directory = gateway.directory.borrow_mut();
             directory.apply_deletion(instance, now, in_outage)
         }
     };
     if let Some(change) = change {
-        log_listing(instance, change);
+        log_listing_change(instance, change);
     }
 }
 
-/// Whether an entry that is gone now may have lapsed in an outage of the store.
+/// Returns true if an entry that is missing now may have expired in an outage of the
+/// store.
 fn is_in_outage(gateway: &Gateway) -> bool {
-    let away_ago = gateway.feeds.store_away_ago();
-    away_ago.is_some_and(|ago| ago < LAPSE_SPAN)
+    let outage_age = gateway.feeds.store_away_ago();
+    outage_age.is_some_and(|ago| ago < OUTAGE_LAPSE_WINDOW)
 }
 
-/// What a row of the table of endpoints says.
+/// Decoded row of the endpoint table.
 enum Entry {
-    /// It names an endpoint.
+    /// The row describes an endpoint.
     Endpoint(EndpointRecord),
-    /// It names none to use.
-    Refused(EntryError),
-    /// It was deleted.
-    Gone,
+    /// The row describes no usable endpoint.
+    Invalid(EntryError),
+    /// The row was deleted.
+    Deleted,
 }
 
-fn read_entry(row: &Row) -> Entry {
+fn decode_entry(row: &Row) -> Entry {
     let Some(value) = &row.value else {
-        return Entry::Gone;
+        return Entry::Deleted;
     };
     match endpoints::decode(&row.id.key, value) {
         Ok(record) => Entry::Endpoint(record),
-        Err(error) => Entry::Refused(error),
+        Err(error) => Entry::Invalid(error),
     }
 }
 
-/// Tells and counts an entry that names no endpoint, unless it is known.
-fn note_refusal(gateway: &Gateway, instance: &str, word: &'static str, error: Option<&EntryError>) {
-    let noted = gateway.refusals.borrow_mut().record_refusal(instance, word);
-    if noted == RecordOutcome::AlreadyRefused {
+/// Logs and counts an entry that describes no usable endpoint, unless it was already
+/// refused. While too many entries are refused, a further one is only counted.
+fn report_refusal(
+    gateway: &Gateway,
+    instance: &str,
+    code: &'static str,
+    error: Option<&EntryError>,
+) {
+    let outcome = gateway.refusals.borrow_mut().record_refusal(instance, code);
+    if outcome == RecordOutcome::AlreadyRefused {
         return;
     }
-    gateway.metrics.count_refused_entry(word);
-    if noted == RecordOutcome::LimitReached {
+    gateway.metrics.count_refused_entry(code);
+    if outcome == RecordOutcome::LimitReached {
         return;
     }
     let event = Event::new(EventKind::EntryRefused).endpoint(instance);
-    let event = event.reason(word);
+    let event = event.reason(code);
     log_event(&match error {
         Some(error) => event.error(error),
         None => event,
     });
 }
 
-fn end_refusal(gateway: &Gateway, instance: &str, how: &'static str) {
-    // One of an undeclared service ends when the service is declared.
-    let is_undeclared = gateway.refusals.borrow().reason_code(instance) == Some(UNDECLARED);
-    if is_undeclared && how == GOOD {
+/// Ends the refusal of an entry, and logs it if the entry was refused.
+fn clear_refusal(gateway: &Gateway, instance: &str, end_reason: &'static str) {
+    // A refusal for an undeclared service ends when the service is declared, not when a
+    // valid entry is read.
+    let is_undeclared = gateway.refusals.borrow().reason_code(instance) == Some(UNDECLARED_SERVICE);
+    if is_undeclared && end_reason == VALID {
         return;
     }
     if gateway.refusals.borrow_mut().clear(instance) {
-        log_end(instance, how);
+        log_refusal_end(instance, end_reason);
     }
 }
 
-fn log_end(instance: &str, how: &'static str) {
+fn log_refusal_end(instance: &str, end_reason: &'static str) {
     let event = Event::new(EventKind::EntryRefusalEnded).endpoint(instance);
-    log_event(&event.reason(how));
+    log_event(&event.reason(end_reason));
 }
 
-/// Tells which endpoints are of a service that nobody has declared. It may be
-/// declared later.
-pub fn note_undeclared(gateway: &Gateway) {
+/// Logs and counts the endpoints whose service operators have not declared. Ends the
+/// refusals of those whose service was declared later or whose entry was deleted.
+pub fn report_undeclared(gateway: &Gateway) {
     let undeclared = gateway.directory.borrow().undeclared_endpoints();
     for instance in &undeclared {
-        note_refusal(gateway, instance, UNDECLARED, None);
+        report_refusal(gateway, instance, UNDECLARED_SERVICE, None);
     }
-    let known = gateway.refusals.borrow().with_reason(UNDECLARED);
-    for instance in known.iter().filter(|known| !undeclared.contains(known)) {
+    let reported = gateway.refusals.borrow().with_reason(UNDECLARED_SERVICE);
+    for instance in reported
+        .iter()
+        .filter(|reported| !undeclared.contains(reported))
+    {
         let is_listed = gateway.directory.borrow().is_listed(instance);
         if gateway.refusals.borrow_mut().clear(instance) {
-            log_end(instance, if is_listed { GOOD } else { GONE });
+            log_refusal_end(instance, if is_listed { VALID } else { DELETED });
         }
     }
 }
 
-/// Tells what changed for the choice of endpoints.
-pub fn log_listing(instance: &str, change: ListingChange) {
+/// Logs a change of an endpoint's listing in the directory.
+pub fn log_listing_change(instance: &str, change: ListingChange) {
     let event = match change {
         ListingChange::Added => Event::new(EventKind::EndpointListed),
         ListingChange::Restarted => Event::new(EventKind::EndpointListed).reason("started-again"),
--- a/gateway/src/process.rs
+++ b/gateway/src/process.rs
@@ -68,7 +68,7 @@
     actix_rt::spawn(front::serve_callers(Rc::clone(&gateway), front, closing));
     actix_rt::spawn(follow::follow_routes(Rc::clone(&gateway)));
     actix_rt::spawn(follow::follow_endpoints(Rc::clone(&gateway)));
-    actix_rt::spawn(follow::tidy(Rc::clone(&gateway)));
+    actix_rt::spawn(follow::run_maintenance(Rc::clone(&gateway)));
     actix_rt::spawn(front::serve_peers(Rc::clone(&gateway), relay));
     actix_rt::spawn(peers::follow(Rc::clone(&gateway), relay_address));
     let datagrams = UdpSocket::bind(relay_address).await;
--- a/gateway/src/unusable.rs
+++ b/gateway/src/unusable.rs
@@ -1,13 +1,14 @@
-//! What of a declared version can't be used, written to the log once.
+//! Logs the routes and customers of a deployment version that can't be used, once
+//! for each version.
 
 use rosebend_coordination::gateway::route_table::RouteTable;
 use rosebend_transport::event::{Event, EventKind, log_event};
 
-/// Lines about routes, and about customers, of one version that can't be used; each
-/// tells how many there are.
+/// Maximum number of unusable routes, and of unusable customers, of one version that
+/// are logged. Each event holds the total number.
 const MAX_UNUSABLE_LINES: usize = 8;
 
-/// Writes which routes of a version can't be used, once and the first of them.
+/// Logs the routes of a version that can't be used, up to [`MAX_UNUSABLE_LINES`].
 pub fn log_routes(routes: &RouteTable) {
     let unusable = routes.unusable_routes();
     let version = routes.deployment().version;
@@ -18,7 +19,7 @@
     }
 }
 
-/// Writes which customers of a version can't be used, once and the first of them.
+/// Logs the customers of a version that can't be used, up to [`MAX_UNUSABLE_LINES`].
 pub fn log_customers(routes: &RouteTable) {
     let deployment = routes.deployment();
     let Some(customers) = &deployment.customers else {
@@ -35,7 +36,7 @@
     }
 }
 
-/// Why a route can't be used, as an error for the log.
+/// Reason for which a route can't be used, as an error for the log.
 #[derive(Debug, thiserror::Error)]
 #[error("{0}")]
 struct UnusableReason<'a>(&'a str);
--- a/gateway/src/watch.rs
+++ b/gateway/src/watch.rs
@@ -1,4 +1,5 @@
-//! What operators and endpoints wrote to the store, followed as it changes.
+//! Follows the tables of the store that operators and endpoints write, and applies
+//! their changes to the routes and to the directory of endpoints.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -12,28 +13,30 @@
 use crate::feeds::{Followed, FollowedTable};
 use crate::gateway::Gateway;
 
-/// Pause after a failure.
+/// Delay before a table is read again after an error.
 const RETRY_PAUSE: Duration = Duration::from_millis(120);
-/// Time between two rounds of tidying up.
-const TIDY_INTERVAL: Duration = Duration::from_millis(500);
+/// Time between two runs of the periodic maintenance.
+const MAINTENANCE_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Follows the declared routes for ever.
+/// Follows the declared routes. Never returns.
 pub async fn follow_routes(gateway: Rc<Gateway>) {
     loop {
         match gateway.feeds.next(FollowedTable::Routes).await {
             Ok(followed) => {
                 for row in &followed.rows {
-                    take_routes(&gateway, row);
+                    apply_routes(&gateway, row);
                 }
                 gateway.confirm_routes(followed.current_at);
             }
-            // The client has logged that the store is lost.
+            // The store client has already logged that the store is unreachable.
             Err(_) => tokio::time::sleep(RETRY_PAUSE).await,
         }
     }
 }
 
-fn take_routes(gateway: &Gateway, row: &Row) {
+/// Puts the routes of a row in force, unless they are invalid or not newer than those
+/// in force.
+fn apply_routes(gateway: &Gateway, row: &Row) {
     let Some(value) = row.value.as_ref().filter(|_| row.id.key == deployment::KEY) else {
         return;
     };
@@ -42,49 +45,52 @@
             let version = deployment.version;
             if gateway.put_in_force(RouteTable::new(deployment)) {
                 log_event(&Event::new(EventKind::RoutesInForce).version(version));
-                entries::note_undeclared(gateway);
+                entries::report_undeclared(gateway);
             }
         }
         Err(error) => log_event(&Event::new(EventKind::RoutesUnreadable).error(&error)),
     }
 }
 
-/// Follows the endpoints for ever.
+/// Follows the table of endpoints. Never returns.
 pub async fn follow_endpoints(gateway: Rc<Gateway>) {
     loop {
         match gateway.feeds.next(FollowedTable::Endpoints).await {
             Ok(followed) => {
-                take_endpoints(&gateway, &followed);
+                apply_endpoints(&gateway, &followed);
                 if followed.is_from_store {
                     tokio::time::sleep(FollowedTable::Endpoints.store_pause()).await;
                 }
             }
-            // The client has logged that the store is lost.
+            // The store client has already logged that the store is unreachable.
             Err(_) => tokio::time::sleep(RETRY_PAUSE).await,
         }
     }
 }
 
-fn take_endpoints(gateway: &Gateway, followed: &Followed) {
+/// Applies changes of the endpoint table, or the complete table, to the directory.
+fn apply_endpoints(gateway: &Gateway, followed: &Followed) {
     match followed.is_whole {
-        true => entries::take_all(gateway, &followed.rows),
+        true => entries::apply_table(gateway, &followed.rows),
         false => {
             let rows = followed.rows.iter();
-            rows.for_each(|row| entries::take(gateway, row));
+            rows.for_each(|row| entries::apply_row(gateway, row));
         }
     }
-    entries::note_undeclared(gateway);
+    entries::report_undeclared(gateway);
 }
 
-/// Drops what is not needed any more and tells changes of readiness, for ever.
-pub async fn tidy(gateway: Rc<Gateway>) {
+/// Removes expired endpoints, crashes and connections periodically, and logs changes of
+/// the process's readiness. Never returns.
+pub async fn run_maintenance(gateway: Rc<Gateway>) {
     loop {
-        tokio::time::sleep(TIDY_INTERVAL).await;
+        tokio::time::sleep(MAINTENANCE_INTERVAL).await;
         let now = gateway.clock.now();
-        // Before others are forgotten whose entries are gone.
-        let earlier = gateway.directory.borrow_mut().adopt_older_incarnations(now);
-        for (instance, change) in earlier {
-            entries::log_listing(&instance, change);
+        // This precedes `expire`, which drops the stored entries of earlier incarnations
+        // of removed endpoints.
+        let adopted = gateway.directory.borrow_mut().adopt_older_incarnations(now);
+        for (instance, change) in adopted {
+            entries::log_listing_change(&instance, change);
         }
         for instance in gateway.directory.borrow_mut().expire(now) {
             let event = Event::new(EventKind::EndpointWithdrawn).reason("lapsed");
