--- a/gateway/src/gossip.rs
+++ b/gateway/src/gossip.rs
@@ -1,10 +1,11 @@
-//! Loads of endpoints, told between gateways.
+//! Sends the load reports of endpoints to other gateways, by datagrams.
 //!
-//! An endpoint tells its load with each answer, but a gateway hears from one of
-//! 40 endpoints only every second and a half, and what it does not hear it
-//! fills in by guessing: on such a site the busiest engines ran 500 ms late
-//! while others were idle. So each gateway sends what it has just heard to its
-//! few peers, by datagrams; one that is lost is made up for by the next.
+//! An endpoint reports its load with each response, but with 40 endpoints a gateway
+//! receives a response of any one of them only every 1.5 s and has to estimate its
+//! load in between. With estimates alone, the busiest engines ran 500 ms late while
+//! others were idle. Each gateway therefore sends the reports that it has just
+//! received to its few peers. A lost datagram is not sent again, because the next one
+//! supersedes it.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -19,57 +20,61 @@
 use crate::gateway::Gateway;
 use crate::{escrow, limits};
 
-/// Time between two datagrams to a peer, short against a request at an engine.
+/// Time between two datagrams to a peer. It is short compared with the duration of a
+/// request at an engine.
 const INTERVAL: Duration = Duration::from_millis(150);
-/// Loads of one datagram at most: about 1,000 bytes.
+/// Maximum number of load reports in a datagram. They take about 1,000 bytes.
 const MAX_LOADS: usize = 24;
-/// Failures of one datagram at most; with the loads about 1,450 bytes.
-const MAX_FAILED: usize = 16;
-/// Largest datagram that is sent, in bytes: no link splits it. What ids of
-/// unusual length leave no room for is left out.
+/// Maximum number of failures in a datagram. With the load reports they take about
+/// 1,450 bytes.
+const MAX_FAILURES: usize = 16;
+/// Maximum size of a sent datagram in bytes, so that no link fragments it. Entries that
+/// do not fit, because ids are unusually long, are left out.
 const MAX_SENT_BYTES: usize = 1_472;
-/// Largest datagram that is read; those about limits have names of customers, and
-/// those about escrow the accounts of a slot.
-const MAX_DATAGRAM_BYTES: usize = 8_192;
+/// Maximum size of a received datagram in bytes. Datagrams about limits contain names
+/// of customers, and those about escrow contain the accounts of a slot.
+const MAX_RECEIVED_BYTES: usize = 8_192;
 
-/// The load of one start of an endpoint, as a peer heard it: running, waiting,
-/// slots, and its age in milliseconds.
+/// Load of an endpoint incarnation as a gateway received it: the numbers of running
+/// requests, waiting requests and slots, and the age of the report in milliseconds.
 #[derive(Clone, Debug, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
-pub struct Heard(pub EndpointIdentity, pub u32, pub u32, pub u32, pub u64);
+pub struct LoadReport(pub EndpointIdentity, pub u32, pub u32, pub u32, pub u64);
 
-/// What a peer heard and saw since its last datagram.
+/// Load reports that a gateway received and failures that it observed since its last
+/// datagram.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
-pub struct News {
-    /// Loads that endpoints told.
-    pub loads: Vec<Heard>,
-    /// Starts of endpoints that failed, once for each failure.
+pub struct PeerReports {
+    /// Loads that endpoints reported to the gateway.
+    pub loads: Vec<LoadReport>,
+    /// Incarnations of endpoints that failed, once for each failure.
     pub failed: Vec<EndpointIdentity>,
 }
 
-/// A datagram that no gateway of this version sent.
+/// Error of a datagram that no gateway of this version can have sent.
 #[derive(Debug, thiserror::Error)]
-#[error("not a list of loads and failures: {0}")]
-pub struct NewsError(#[from] serde_json::Error);
+#[error("invalid datagram of load reports and failures: {0}")]
+pub struct PeerReportsError(#[from] serde_json::Error);
 
-impl TryFrom<&[u8]> for News {
-    type Error = NewsError;
+impl TryFrom<&[u8]> for PeerReports {
+    type Error = PeerReportsError;
 
-    fn try_from(datagram: &[u8]) -> Result<Self, NewsError> {
+    fn try_from(datagram: &[u8]) -> Result<Self, PeerReportsError> {
         Ok(serde_json::from_slice(datagram)?)
     }
 }
 
-impl News {
-    /// As many of the news as one datagram holds.
+impl PeerReports {
+    /// Encodes as many of the reports and failures as fit into one datagram.
     ///
     /// # Panics
     ///
-    /// Panics when the news have no JSON form, which none lack.
-    pub fn datagram(mut self) -> Vec<u8> {
+    /// Panics if serialization to JSON fails, which does not happen for text and numbers.
+    pub fn into_datagram(mut self) -> Vec<u8> {
         loop {
-            let datagram = serde_json::to_vec(&self).expect("text and numbers have a JSON form");
+            let datagram =
+                serde_json::to_vec(&self).expect("text and numbers can be serialized to JSON");
             if datagram.len() <= MAX_SENT_BYTES {
                 return datagram;
             }
@@ -79,10 +84,10 @@
         }
     }
 
-    /// Adds what a peer told to what is believed of endpoints. What it tells of
-    /// another start than the one that is listed here changes nothing.
-    pub fn tell(&self, directory: &mut Directory, now: Duration) {
-        for Heard(endpoint, running, waiting, slots, age_ms) in &self.loads {
+    /// Records the reports and failures in the directory. Those of another incarnation
+    /// than the listed one have no effect.
+    pub fn record_in(&self, directory: &mut Directory, now: Duration) {
+        for LoadReport(endpoint, running, waiting, slots, age_ms) in &self.loads {
             let load = EndpointLoad {
                 running: *running,
                 waiting: *waiting,
@@ -97,26 +102,27 @@
     }
 }
 
-/// Tells and hears loads, for ever.
+/// Sends and receives load reports. Never returns.
 pub async fn run(gateway: Rc<Gateway>, socket: Rc<UdpSocket>) {
-    actix_rt::spawn(hear(Rc::clone(&gateway), Rc::clone(&socket)));
+    actix_rt::spawn(receive(Rc::clone(&gateway), Rc::clone(&socket)));
     loop {
         tokio::time::sleep(INTERVAL).await;
         let peers = gateway.store.peer_addresses();
-        if let Some(datagram) = news(&gateway).filter(|_| !peers.is_empty()) {
-            tell(&socket, &peers, &datagram).await;
+        if let Some(datagram) = encode_recent_reports(&gateway).filter(|_| !peers.is_empty()) {
+            send_to_peers(&socket, &peers, &datagram).await;
         }
     }
 }
 
-/// What this gateway heard itself since the last datagram.
-fn news(gateway: &Gateway) -> Option<Vec<u8>> {
+/// Encodes the reports that this gateway received from endpoints, and the failures that
+/// it observed, since the last datagram. Returns `None` if there are none.
+fn encode_recent_reports(gateway: &Gateway) -> Option<Vec<u8>> {
     let now = gateway.clock.now();
     let since = now.saturating_sub(INTERVAL);
     let directory = gateway.directory.borrow();
-    let heard = directory.reports_since(since).map(|(endpoint, load, at)| {
+    let reports = directory.reports_since(since).map(|(endpoint, load, at)| {
         let age_ms = whole_ms(now.saturating_sub(at));
-        Heard(
+        LoadReport(
             endpoint.clone(),
             load.running,
             load.waiting,
@@ -124,26 +130,29 @@
             age_ms,
         )
     });
-    let loads: Vec<Heard> = heard.take(MAX_LOADS).collect();
-    let failed = directory.failures_since(since).take(MAX_FAILED).cloned();
+    let loads: Vec<LoadReport> = reports.take(MAX_LOADS).collect();
+    let failed = directory.failures_since(since).take(MAX_FAILURES).cloned();
     let failed: Vec<EndpointIdentity> = failed.collect();
     if loads.is_empty() && failed.is_empty() {
         return None;
     }
-    Some(News { loads, failed }.datagram())
+    Some(PeerReports { loads, failed }.into_datagram())
 }
 
-async fn tell(socket: &UdpSocket, peers: &[SocketAddr], datagram: &[u8]) {
+/// Sends a datagram to each peer.
+async fn send_to_peers(socket: &UdpSocket, peers: &[SocketAddr], datagram: &[u8]) {
     for peer in peers {
-        // A peer that is gone, or a full link: the next datagram makes up for it.
+        // An error is ignored: the peer has stopped or the link is full, and the next
+        // datagram supersedes this one.
         let _ = socket.send_to(datagram, peer).await;
     }
 }
 
-async fn hear(gateway: Rc<Gateway>, socket: Rc<UdpSocket>) {
-    let mut buffer = [0; MAX_DATAGRAM_BYTES];
+/// Receives the datagrams of peers and passes each to its module. Never returns.
+async fn receive(gateway: Rc<Gateway>, socket: Rc<UdpSocket>) {
+    let mut buffer = [0; MAX_RECEIVED_BYTES];
     loop {
-        // An error tells of an earlier datagram that could not be delivered.
+        // An error concerns an earlier datagram that could not be delivered.
         let Ok((bytes, from)) = socket.recv_from(&mut buffer).await else {
             continue;
         };
@@ -155,12 +164,12 @@
             escrow::on_message(&gateway, message, from);
             continue;
         }
-        // Anyone may send a datagram; what is said by no gateway of this
-        // version is passed over, as a datagram that is lost is.
-        let Ok(news) = News::try_from(&buffer[..bytes]) else {
+        // Any process may send a datagram. One that no gateway of this version can have
+        // sent is ignored, like a lost datagram.
+        let Ok(peer_reports) = PeerReports::try_from(&buffer[..bytes]) else {
             continue;
         };
         let now = gateway.clock.now();
-        news.tell(&mut gateway.directory.borrow_mut(), now);
+        peer_reports.record_in(&mut gateway.directory.borrow_mut(), now);
     }
 }
--- a/gateway/tests/gossip.rs
+++ b/gateway/tests/gossip.rs
@@ -1,15 +1,17 @@
-//! Datagrams between gateways: any bytes may come.
+//! Tests the encoding and decoding of load report datagrams between gateways. Any
+//! process can send a datagram, so no content may stop a gateway.
 
 use std::time::Duration;
 
 use proptest::prelude::*;
 use rosebend_coordination::gateway::directory::{Directory, EndpointQuery};
-use rosebend_gateway::gossip::{Heard, News};
+use rosebend_gateway::gossip::{LoadReport, PeerReports};
 use rosebend_state::deployment::{EndpointIdentity, EndpointLoad, EndpointRecord};
 
 const NOW: Duration = Duration::from_secs(100);
 
-fn start(instance: &str, started_ms: u64) -> EndpointIdentity {
+/// Returns the identity of an incarnation.
+fn incarnation(instance: &str, started_ms: u64) -> EndpointIdentity {
     EndpointIdentity {
         instance: instance.to_owned(),
         started_ms: Some(started_ms),
@@ -20,7 +22,7 @@
     let mut directory = Directory::new("newport-hall".to_owned());
     for instance in ["a", "b"] {
         let record = EndpointRecord {
-            identity: start(instance, 2),
+            identity: incarnation(instance, 2),
             service: "models".to_owned(),
             address: "127.0.0.1:9".parse().unwrap(),
             availability_zone: "newport-hall".to_owned(),
@@ -33,11 +35,11 @@
     directory
 }
 
-/// Takes a datagram as a gateway does, and then uses what it believes.
-fn take(datagram: &[u8]) {
+/// Records a datagram in a directory as a gateway does, and then selects an endpoint.
+fn receive(datagram: &[u8]) {
     let mut directory = directory();
-    if let Ok(news) = News::try_from(datagram) {
-        news.tell(&mut directory, NOW);
+    if let Ok(peer_reports) = PeerReports::try_from(datagram) {
+        peer_reports.record_in(&mut directory, NOW);
     }
     let query = EndpointQuery {
         warm_tokens: u64::MAX,
@@ -46,42 +48,46 @@
     assert!(directory.select("models", query, NOW, |_| true).is_some());
 }
 
-fn news() -> News {
-    News {
-        loads: vec![Heard(start("a", 2), 3, 0, 8, 120)],
-        failed: vec![start("b", 2)],
+fn peer_reports() -> PeerReports {
+    PeerReports {
+        loads: vec![LoadReport(incarnation("a", 2), 3, 0, 8, 120)],
+        failed: vec![incarnation("b", 2)],
     }
 }
 
 #[test]
-fn a_datagram_is_read_as_it_was_sent_and_no_link_splits_it() {
-    let datagram = news().datagram();
-    assert_eq!(News::try_from(datagram.as_slice()).unwrap(), news());
+fn a_datagram_round_trips_and_keeps_to_the_maximum_size() {
+    let datagram = peer_reports().into_datagram();
+    assert_eq!(
+        PeerReports::try_from(datagram.as_slice()).unwrap(),
+        peer_reports()
+    );
     let long = "i".repeat(120);
-    let many = News {
-        loads: vec![Heard(start(&long, u64::MAX), 1, 1, 1, 1); 24],
-        failed: vec![start(&long, u64::MAX); 16],
+    let many = PeerReports {
+        loads: vec![LoadReport(incarnation(&long, u64::MAX), 1, 1, 1, 1); 24],
+        failed: vec![incarnation(&long, u64::MAX); 16],
     };
-    let datagram = many.datagram();
+    let datagram = many.into_datagram();
     assert!(datagram.len() <= 1_472, "{}", datagram.len());
-    assert!(News::try_from(datagram.as_slice()).is_ok());
+    assert!(PeerReports::try_from(datagram.as_slice()).is_ok());
 }
 
 #[test]
-fn a_peer_that_tells_no_start_is_not_believed_about_one() {
+fn reports_without_a_start_time_do_not_apply_to_a_known_incarnation() {
     let mut directory = directory();
     let datagram = br#"{"loads": [["a", 9, 9, 8, 0]], "failed": ["a", "a/1", "a/2", "a/3"]}"#;
-    let news = News::try_from(datagram.as_slice()).unwrap();
-    assert_eq!(news.failed[0], EndpointIdentity::unknown_start("a"));
-    assert_eq!(news.failed[2], start("a", 2));
-    news.tell(&mut directory, NOW);
+    let peer_reports = PeerReports::try_from(datagram.as_slice()).unwrap();
+    assert_eq!(peer_reports.failed[0], EndpointIdentity::unknown_start("a"));
+    assert_eq!(peer_reports.failed[2], incarnation("a", 2));
+    peer_reports.record_in(&mut directory, NOW);
     let load = EndpointLoad {
         running: 1,
         waiting: 0,
         slots: 8,
     };
-    // Nothing was heard of this start before.
-    directory.record_peer_report(&start("a", 2), load, Duration::ZERO);
+    // A report with the earliest time takes effect, so no report of this incarnation
+    // was recorded before.
+    directory.record_peer_report(&incarnation("a", 2), load, Duration::ZERO);
     directory.apply_deletion("b", NOW, false);
     let chosen = directory.select("models", EndpointQuery::default(), NOW, |_| true);
     assert_eq!(chosen.unwrap().report_age, Some(NOW));
@@ -89,31 +95,31 @@
 
 proptest! {
     #[test]
-    fn no_bytes_stop_a_process(datagram in prop::collection::vec(any::<u8>(), 0..300)) {
-        take(&datagram);
+    fn arbitrary_bytes_do_not_panic(datagram in prop::collection::vec(any::<u8>(), 0..300)) {
+        receive(&datagram);
     }
 
     #[test]
-    fn no_changed_byte_stops_a_process(
+    fn corrupted_datagrams_do_not_panic(
         changes in prop::collection::vec((any::<prop::sample::Index>(), any::<u8>()), 1..6),
     ) {
-        let mut datagram = serde_json::to_vec(&news()).unwrap();
+        let mut datagram = serde_json::to_vec(&peer_reports()).unwrap();
         for (at, byte) in changes {
             let at = at.index(datagram.len());
             datagram[at] = byte;
         }
-        take(&datagram);
+        receive(&datagram);
     }
 
     #[test]
-    fn no_numbers_stop_a_process(
+    fn arbitrary_numbers_do_not_panic(
         loads in prop::collection::vec(("[a-c]", any::<u32>(), any::<u32>(), any::<u32>(), any::<u64>()), 0..8),
         failed in prop::collection::vec("[a-c]", 0..40),
     ) {
         let loads = loads.into_iter();
-        let loads = loads.map(|(id, running, waiting, slots, age)| Heard(start(&id, 2), running, waiting, slots, age));
-        let failed = failed.iter().map(|id| start(id, 2));
-        let news = News { loads: loads.collect(), failed: failed.collect() };
-        take(&serde_json::to_vec(&news).unwrap());
+        let loads = loads.map(|(id, running, waiting, slots, age)| LoadReport(incarnation(&id, 2), running, waiting, slots, age));
+        let failed = failed.iter().map(|id| incarnation(id, 2));
+        let peer_reports = PeerReports { loads: loads.collect(), failed: failed.collect() };
+        receive(&serde_json::to_vec(&peer_reports).unwrap());
     }
 }
