--- a/gateway/tests/entries.rs
+++ b/gateway/tests/entries.rs
@@ -1,5 +1,5 @@
-//! Entries of the table of endpoints that other writers left there, beside
-//! those of endpoints.
+//! Tests entries of the endpoint table that describe no usable endpoint, such as other
+//! writers than endpoints may leave there.
 
 mod support;
 
@@ -8,10 +8,11 @@
 use serde_json::{Value, json};
 use support::{Ask, Gateway, Site, until};
 
-const DESK: usize = 1;
+const DESK_ENDPOINT: usize = 1;
 
-/// Writes one entry of each kind that names no endpoint; their ids.
-fn foreign_entries(site: &Site) -> Vec<String> {
+/// Writes one entry of each kind that describes no usable endpoint, and returns their
+/// ids.
+fn write_invalid_entries(site: &Site) -> Vec<String> {
     let entry = json!({
         "service": "desk", "address": "127.0.0.1:9", "zone": "newport-hall", "version": "v1",
         "slots": 8, "state": "ready", "cold-left-ms": 0, "seq": 1,
@@ -40,7 +41,7 @@
         .collect()
 }
 
-/// Endpoints that the events of a name speak of, sorted.
+/// Returns the endpoints that the logged events with a name refer to, sorted.
 fn endpoints(gateway: &Gateway, name: &str) -> Vec<String> {
     let events = gateway.events(name).into_iter();
     let endpoints = events.map(|event| event["endpoint"].as_str().unwrap_or_default().to_owned());
@@ -56,8 +57,8 @@
     .await;
 }
 
-/// Asks some times, each of which must be served.
-async fn serves(gateway: &Gateway, name: &str) {
+/// Sends several requests, each of which must be served.
+async fn assert_served(gateway: &Gateway, name: &str) {
     for number in 0..12 {
         let ask = Ask::get("/lookup/x").attempt(&format!("{name}{number}"));
         assert_eq!(ask.send(gateway.front).await.status, 200, "{name}{number}");
@@ -65,42 +66,43 @@
 }
 
 #[actix_rt::test]
-async fn entries_that_name_no_endpoint_leave_the_others_as_they_are() {
+async fn invalid_entries_do_not_affect_other_endpoints() {
     let mut site = Site::start();
     let early = site.gateway();
     early.until_ready().await;
-    let mut ids = foreign_entries(&site);
+    let mut ids = write_invalid_entries(&site);
     ids.sort();
-    // One host reads them all at once, the other as they come.
+    // The later host reads all entries at once, the earlier one reads each change.
     let late = site.gateway();
     late.until_ready().await;
-    let more = site.add_endpoint("desk");
-    let instance = site.endpoints[more].instance.clone();
+    let added = site.add_endpoint("desk");
+    let instance = site.endpoints[added].instance.clone();
     for gateway in [&early, &late] {
         until_listed(gateway, &instance).await;
-        until("all are refused", async || {
+        until("all invalid entries are refused", async || {
             endpoints(gateway, "entry-refused") == ids
         })
         .await;
-        serves(gateway, "a").await;
+        assert_served(gateway, "a").await;
     }
-    // Each is told once, also when it is written again, and when it is gone.
-    foreign_entries(&site);
+    // Each refusal is logged once, also when the entry is written again, and its end is
+    // logged when the entry is deleted.
+    write_invalid_entries(&site);
     site.store.forget_history();
-    let more = site.add_endpoint("desk");
+    let added = site.add_endpoint("desk");
     for gateway in [&early, &late] {
-        until_listed(gateway, &site.endpoints[more].instance).await;
+        until_listed(gateway, &site.endpoints[added].instance).await;
         assert_eq!(endpoints(gateway, "entry-refused"), ids);
     }
     for id in &ids {
         site.store.delete("servers", id);
     }
     for gateway in [&early, &late] {
-        until("all are gone", async || {
+        until("all refusals have ended", async || {
             endpoints(gateway, "entry-refusal-ended") == ids
         })
         .await;
-        serves(gateway, "b").await;
+        assert_served(gateway, "b").await;
         let page = Ask::get("/metrics").send(gateway.metrics).await.body;
         assert!(
             page.contains("refused_entries_total{reason=\"range\"} 4"),
@@ -115,51 +117,51 @@
 }
 
 #[actix_rt::test]
-async fn an_endpoint_whose_entry_turns_bad_gets_nothing_until_it_is_good_again() {
+async fn an_endpoint_with_an_invalid_entry_gets_no_requests_until_it_is_valid() {
     let mut site = Site::start();
     let other = site.add_endpoint("desk");
     let gateway = site.gateway();
     gateway.until_ready().await;
-    let instance = site.endpoints[DESK].instance.clone();
+    let instance = site.endpoints[DESK_ENDPOINT].instance.clone();
     site.store.put_bytes("servers", &instance, b"{");
     until("the entry is refused", async || {
         endpoints(&gateway, "entry-refused") == [instance.clone()]
     })
     .await;
-    serves(&gateway, "a").await;
+    assert_served(&gateway, "a").await;
     assert_eq!(site.runs(other).await.len(), 12);
-    site.announce(DESK, "ready");
-    until("the entry is good again", async || {
+    site.announce(DESK_ENDPOINT, "ready");
+    until("the entry is valid again", async || {
         endpoints(&gateway, "entry-refusal-ended") == [instance.clone()]
     })
     .await;
     site.store
         .delete("servers", &site.endpoints[other].instance);
-    until("the other is gone", async || {
+    until("the other endpoint is withdrawn", async || {
         !gateway.events("endpoint-withdrawn").is_empty()
     })
     .await;
-    serves(&gateway, "b").await;
-    assert_eq!(site.runs(DESK).await.len(), 12);
+    assert_served(&gateway, "b").await;
+    assert_eq!(site.runs(DESK_ENDPOINT).await.len(), 12);
 }
 
 #[actix_rt::test]
-async fn datagrams_of_any_content_stop_nothing() {
+async fn malformed_datagrams_do_not_affect_requests() {
     let site = Site::start();
     let gateway = site.gateway();
     gateway.until_ready().await;
     let listening = gateway.events("listening");
     let peers = listening.iter().find(|event| event["reason"] == "peers");
     let address = peers.unwrap()["address"].as_str().unwrap().to_owned();
-    let instance = &site.endpoints[DESK].instance;
-    let most = u32::MAX;
+    let instance = &site.endpoints[DESK_ENDPOINT].instance;
+    let max = u32::MAX;
     let datagrams = [
         b"\xff\xfe".to_vec(),
         vec![b'['; 2_000],
-        json!({"loads": [[instance, most, most, most, u64::MAX]], "failed": ["nobody"]})
+        json!({"loads": [[instance, max, max, max, u64::MAX]], "failed": ["nobody"]})
             .to_string()
             .into_bytes(),
-        json!({"loads": [[instance, most, most, 0, 0]], "failed": [instance]})
+        json!({"loads": [[instance, max, max, 0, 0]], "failed": [instance]})
             .to_string()
             .into_bytes(),
         json!({"loads": [[instance, -1, 1e99, "8", 0]], "failed": [7]})
@@ -170,6 +172,6 @@
     for datagram in &datagrams {
         socket.send_to(datagram, &address).unwrap();
     }
-    serves(&gateway, "a").await;
-    assert_eq!(site.runs(DESK).await.len(), 12);
+    assert_served(&gateway, "a").await;
+    assert_eq!(site.runs(DESK_ENDPOINT).await.len(), 12);
 }
--- a/gateway/tests/plain.rs
+++ b/gateway/tests/plain.rs
@@ -1,5 +1,5 @@
-//! Requests whose answer is passed on whole: what is repeated, what is not,
-//! and that nothing else is ever passed on as an answer.
+//! Tests requests that are not turns of programs: which of them run again after a
+//! failure, and that only a complete and verified response is forwarded.
 
 mod support;
 
@@ -7,7 +7,7 @@
 use rosebend_standin::backend::BackendFaults;
 use support::{Ask, Site};
 
-const DESK: usize = 1;
+const DESK_ENDPOINT: usize = 1;
 
 fn lookup(attempt: &str) -> Ask {
     Ask::get("/lookup/status?crew=7").attempt(attempt)
@@ -20,7 +20,7 @@
 }
 
 #[actix_rt::test]
-async fn an_answer_is_passed_on_unchanged() {
+async fn a_response_is_forwarded_unchanged() {
     let (site, gateway) = Site::start_with_gateway().await;
     let answer = lookup("a1")
         .header("x-more", "kept")
@@ -29,17 +29,17 @@
     assert_eq!((answer.status, answer.body.as_str()), (200, "answer to a1"));
     assert_eq!(answer.header("response-stamp"), Some("stamp.i-desk-1"));
     assert_eq!(answer.header("attempt-id"), Some("a1"));
-    let run = site.runs(DESK).await["a1"].clone();
+    let run = site.runs(DESK_ENDPOINT).await["a1"].clone();
     assert_eq!(run.target, "GET /lookup/status?crew=7");
     assert_eq!(run.headers["x-more"], "kept");
     assert_eq!(
         run.headers["target-instance"],
-        site.endpoints[DESK].instance
+        site.endpoints[DESK_ENDPOINT].instance
     );
 }
 
 #[actix_rt::test]
-async fn a_refused_request_goes_to_another_endpoint() {
+async fn a_refused_request_is_sent_to_another_endpoint() {
     let mut site = Site::start();
     let other = site.add_endpoint("desk");
     let gateway = site.ready_gateway().await;
@@ -47,7 +47,7 @@
         refuse: 1_000,
         ..BackendFaults::default()
     };
-    site.endpoint_faults(DESK, &faults).await;
+    site.endpoint_faults(DESK_ENDPOINT, &faults).await;
     for number in 0..6 {
         let attempt = format!("a{number}");
         assert_eq!(fee(&attempt).send(gateway.front).await.status, 200);
@@ -57,13 +57,13 @@
 }
 
 #[actix_rt::test]
-async fn a_refusal_says_when_to_come_back_and_is_true() {
+async fn a_refused_request_gets_retry_after_and_did_not_run() {
     let (site, gateway) = Site::start_with_gateway().await;
     let faults = BackendFaults {
         refuse: 1_000,
         ..BackendFaults::default()
     };
-    site.endpoint_faults(DESK, &faults).await;
+    site.endpoint_faults(DESK_ENDPOINT, &faults).await;
     let answer = fee("a1").send(gateway.front).await;
     assert_eq!(answer.status, 503);
     assert!(answer.retry_after_s().unwrap() > 0.0);
@@ -71,7 +71,7 @@
 }
 
 #[actix_rt::test]
-async fn a_lost_answer_is_told_as_unknown_and_not_run_again() {
+async fn a_lost_response_is_reported_as_unknown_and_not_retried() {
     let mut site = Site::start();
     site.add_endpoint("desk");
     let gateway = site.ready_gateway().await;
@@ -93,7 +93,7 @@
 }
 
 #[actix_rt::test]
-async fn an_idempotent_request_runs_again_after_a_lost_answer() {
+async fn an_idempotent_request_is_retried_after_a_lost_response() {
     let mut site = Site::start();
     let other = site.add_endpoint("desk");
     let gateway = site.ready_gateway().await;
@@ -101,7 +101,7 @@
         lose_answers: 1_000,
         ..BackendFaults::default()
     };
-    site.endpoint_faults(DESK, &faults).await;
+    site.endpoint_faults(DESK_ENDPOINT, &faults).await;
     for number in 0..4 {
         let answer = lookup(&format!("a{number}")).send(gateway.front).await;
         assert_eq!(answer.status, 200);
@@ -110,7 +110,7 @@
 }
 
 #[actix_rt::test]
-async fn what_is_no_answer_to_the_request_is_never_passed_on() {
+async fn unverified_and_incomplete_responses_are_not_forwarded() {
     let table = [
         BackendFaults {
             other_attempt: 1_000,
@@ -127,7 +127,7 @@
     ];
     let (site, gateway) = Site::start_with_gateway().await;
     for (number, faults) in table.iter().enumerate() {
-        site.endpoint_faults(DESK, faults).await;
+        site.endpoint_faults(DESK_ENDPOINT, faults).await;
         let attempt = format!("a{number}");
         let answer = fee(&attempt).send(gateway.front).await;
         assert_eq!(answer.status, 502, "{faults:?}");
@@ -136,7 +136,7 @@
 }
 
 #[actix_rt::test]
-async fn orders_that_a_caller_forged_do_not_reach_an_endpoint() {
+async fn internal_headers_that_a_caller_sets_are_not_forwarded() {
     let (site, gateway) = Site::start_with_gateway().await;
     let forged = [
         "hold",
@@ -151,7 +151,7 @@
         .fold(lookup("a1"), |ask, name| ask.header(name, "9"));
     let ask = ask.header("connection", "x-hop").header("x-hop", "1");
     assert_eq!(ask.send(gateway.front).await.status, 200);
-    let headers = site.runs(DESK).await["a1"].headers.clone();
+    let headers = site.runs(DESK_ENDPOINT).await["a1"].headers.clone();
     for name in [
         "hold",
         "pin-ms",
@@ -162,22 +162,25 @@
     ] {
         assert!(!headers.contains_key(name), "{name}");
     }
-    assert_eq!(headers["target-instance"], site.endpoints[DESK].instance);
+    assert_eq!(
+        headers["target-instance"],
+        site.endpoints[DESK_ENDPOINT].instance
+    );
 }
 
 #[actix_rt::test]
-async fn an_endpoint_is_given_no_more_time_than_the_caller_has() {
+async fn the_deadline_for_an_endpoint_is_not_later_than_the_callers() {
     let (site, gateway) = Site::start_with_gateway().await;
     let ask = lookup("a1").header("deadline-ms", "900");
     assert_eq!(ask.send(gateway.front).await.status, 200);
-    let given: u64 = site.runs(DESK).await["a1"].headers["deadline-ms"]
+    let given: u64 = site.runs(DESK_ENDPOINT).await["a1"].headers["deadline-ms"]
         .parse()
         .unwrap();
     assert!(given <= 900 && given > 500, "{given}");
 }
 
 #[actix_rt::test]
-async fn bad_requests_get_a_clear_error_and_run_nowhere() {
+async fn invalid_requests_get_a_problem_document_and_do_not_run() {
     let (site, gateway) = Site::start_with_gateway().await;
     let long = "x".repeat(150_000);
     let table = [
@@ -194,16 +197,16 @@
             Some("application/problem+json")
         );
     }
-    assert!(site.runs(DESK).await.is_empty());
+    assert!(site.runs(DESK_ENDPOINT).await.is_empty());
     assert_eq!(lookup("a4").send(gateway.front).await.status, 200);
 }
 
 #[actix_rt::test]
-async fn an_endpoint_that_leaves_gets_nothing_new() {
+async fn a_draining_endpoint_gets_no_new_requests() {
     let mut site = Site::start();
     let other = site.add_endpoint("desk");
     let gateway = site.ready_gateway().await;
-    site.announce(DESK, "draining");
+    site.announce(DESK_ENDPOINT, "draining");
     support::until("the endpoint is withdrawn", async || {
         !gateway.events("endpoint-withdrawn").is_empty()
     })
@@ -216,20 +219,20 @@
 }
 
 #[actix_rt::test]
-async fn work_stops_when_its_caller_leaves() {
+async fn a_request_ends_when_its_caller_disconnects() {
     let (site, gateway) = Site::start_with_gateway().await;
     let slow = BackendFaults {
         delay_ms: 60_000,
         ..BackendFaults::default()
     };
-    site.endpoint_faults(DESK, &slow).await;
+    site.endpoint_faults(DESK_ENDPOINT, &slow).await;
     let ask = lookup("a1");
-    let impatient = tokio::time::timeout(
+    let abandoned = tokio::time::timeout(
         std::time::Duration::from_millis(200),
         ask.send(gateway.front),
     );
-    assert!(impatient.await.is_err());
-    support::until("the trail tells that the caller left", async || {
+    assert!(abandoned.await.is_err());
+    support::until("the disconnection of the caller is logged", async || {
         let ended = gateway.events("request-ended");
         ended.iter().any(|event| event["reason"] == "caller-left")
     })
--- a/gateway/tests/quarantine.rs
+++ b/gateway/tests/quarantine.rs
@@ -1,5 +1,5 @@
-//! A request that crashes endpoints is refused everywhere after three of them;
-//! its neighbours are not.
+//! Tests that a request is refused by all hosts after it has crashed three endpoints,
+//! while other requests are served.
 
 mod support;
 
@@ -10,20 +10,21 @@
 use serde_json::json;
 use support::{Ask, Site, until};
 
-/// A start of an endpoint that ends with the first request that it is sent.
-fn crashing_endpoint(site: &Site, instance: &str, born_ms: u64) {
+/// Starts an incarnation of an endpoint that crashes at the first request: it closes
+/// its listener and the connection.
+fn crashing_endpoint(site: &Site, instance: &str, started_ms: u64) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let entry = json!({
         "service": "desk", "address": listener.local_addr().unwrap().to_string(),
         "zone": "newport-hall", "version": "v1", "slots": 8, "state": "ready",
-        "cold-left-ms": 0, "seq": 1, "born": born_ms,
+        "cold-left-ms": 0, "seq": 1, "born": started_ms,
     });
     site.store.put("servers", instance, &entry);
     std::thread::spawn(move || {
         let (mut connection, _) = listener.accept().unwrap();
         drop(listener);
         let mut bytes = [0; 64];
-        // What is read does not matter.
+        // The request itself is not needed, and an error makes no difference.
         let _ = connection.read(&mut bytes);
     });
 }
@@ -33,7 +34,7 @@
     let site = Site::start();
     site.store.delete("servers", &site.endpoints[1].instance);
     let gateways = site.two_ready_gateways().await;
-    let poison = |attempt: &str| {
+    let crashing_request = |attempt: &str| {
         Ask::new(Method::POST, "/fee/receipt")
             .attempt(attempt)
             .body("poison")
@@ -47,20 +48,23 @@
             listed.iter().any(|event| event["endpoint"] == instance)
         })
         .await;
-        let answer = poison(&format!("a{number}")).send(gateway.front).await;
+        let answer = crashing_request(&format!("a{number}"))
+            .send(gateway.front)
+            .await;
         assert_eq!(answer.status, 502);
         site.store.delete("servers", &instance);
     }
     for gateway in &gateways {
-        until("the request is in quarantine", async || {
+        until("the request is quarantined", async || {
             !gateway.events("request-quarantined").is_empty()
         })
         .await;
     }
-    // A sound endpoint is there again: the request stays refused, others not.
+    // A healthy endpoint is listed again. The request is still refused, others are
+    // served.
     site.announce(1, "ready");
     for (number, gateway) in gateways.iter().enumerate() {
-        until("the sound endpoint serves", async || {
+        until("the healthy endpoint serves requests", async || {
             let other = Ask::new(Method::POST, "/fee/receipt")
                 .attempt("b")
                 .body("fee 12");
@@ -68,13 +72,16 @@
         })
         .await;
         let attempt = format!("c{number}");
-        assert_eq!(poison(&attempt).send(gateway.front).await.status, 503);
+        assert_eq!(
+            crashing_request(&attempt).send(gateway.front).await.status,
+            503
+        );
         assert_eq!(site.times_run(&attempt).await, 0);
     }
 }
 
 #[actix_rt::test]
-async fn crashes_of_three_starts_under_one_id_are_three_crashes() {
+async fn crashes_of_three_incarnations_of_an_endpoint_count_as_three() {
     let site = Site::start();
     site.store.delete("servers", &site.endpoints[1].instance);
     let gateways = [site.gateway(), site.gateway()];
@@ -83,12 +90,13 @@
     }
     for number in 0..3 {
         crashing_endpoint(&site, "i-crash", number);
-        // Each host sees each start, which feeds do not promise by themselves.
+        // Followers of the table may skip an incarnation, so the test waits until each
+        // host has listed it.
         for gateway in &gateways {
-            until("the start is listed", async || {
+            until("the incarnation is listed", async || {
                 let listed = gateway.events("endpoint-listed").into_iter();
-                let starts = listed.filter(|event| event["endpoint"] == "i-crash");
-                starts.count() as u64 == number + 1
+                let incarnations = listed.filter(|event| event["endpoint"] == "i-crash");
+                incarnations.count() as u64 == number + 1
             })
             .await;
         }
@@ -99,7 +107,7 @@
         assert_eq!(ask.send(gateway.front).await.status, 502);
     }
     for gateway in &gateways {
-        until("the request is in quarantine", async || {
+        until("the request is quarantined", async || {
             !gateway.events("request-quarantined").is_empty()
         })
         .await;
