--- a/gateway/src/call.rs
+++ b/gateway/src/call.rs
@@ -20,7 +20,7 @@
 use crate::gateway::Gateway;
 use crate::limits;
 use crate::reply::{Refusal, Reply};
-use crate::trail::Trail;
+use crate::request_log::RequestLog;
 
 /// A request that is to be served.
 #[derive(Debug)]
@@ -50,7 +50,7 @@
     /// What it counts for in its customer's limit, once it does.
     pub counted: Cell<Option<RequestClass>>,
     /// What is written of it.
-    pub trail: Trail,
+    pub request_log: RequestLog,
 }
 
 impl Call {
@@ -123,7 +123,8 @@
         limits::give_back(gateway, call);
     }
     let elapsed = call.elapsed(gateway.clock.now());
-    call.trail.ended(refusal.word(), refusal.status(), elapsed);
+    call.request_log
+        .record_ended(refusal.word(), refusal.status(), elapsed);
     gateway.metrics.count_refusal(refusal.word());
     gateway.metrics.count_request(call.route.kind, "refused");
     Reply::Problem(refusal).into_response()
--- a/gateway/src/exchange.rs
+++ b/gateway/src/exchange.rs
@@ -128,7 +128,7 @@
         let event = event
             .elapsed(self.call.elapsed(now))
             .reason(failure.as_str());
-        self.call.trail.notable(event);
+        self.call.request_log.add_notable_step(event);
         if failure == Failure::Refused {
             return;
         }
@@ -172,7 +172,7 @@
         };
         let warm = self.warm.as_ref().map(|warm| &warm.endpoint);
         let is_warm = warm == Some(&chosen.record.identity);
-        self.call.trail.step(match is_warm {
+        self.call.request_log.add_step(match is_warm {
             true => event.reason("warm"),
             false => event,
         });
@@ -206,7 +206,7 @@
         let elapsed = self.gateway.clock.now().saturating_sub(sent);
         let event = Event::new(EventKind::AnswerBegan).endpoint(&endpoint.identity.instance);
         let event = event.status(response.status().as_u16()).elapsed(elapsed);
-        self.call.trail.step(event);
+        self.call.request_log.add_step(event);
         self.check(&response, &header, endpoint)?;
         if self.call.route.kind == RouteKind::Streaming {
             let now = self.gateway.clock.now();
--- a/gateway/src/front.rs
+++ b/gateway/src/front.rs
@@ -158,7 +158,7 @@
             let Ok(service) = service.new_service(()).await else {
                 return;
             };
-            // How a request on it ended is in the request's own trail.
+            // How a request on it ended is in the log of that request.
             let _ = service.call((stream, Some(peer))).await;
         });
     })
--- a/gateway/src/intake.rs
+++ b/gateway/src/intake.rs
@@ -19,7 +19,7 @@
 use crate::call::Call;
 use crate::gateway::Gateway;
 use crate::reply::Refusal;
-use crate::trail::Trail;
+use crate::request_log::RequestLog;
 
 /// Longest wait for the rest of a body.
 const BODY_TIMEOUT: Duration = Duration::from_secs(10);
@@ -66,14 +66,14 @@
         .as_ref()
         .map(|program| program.program.clone());
     let name = customer.as_ref().map(|customer| customer.name.clone());
-    let trail = Trail::new(header.attempt.clone(), program, name, route.name.clone());
+    let request_log = RequestLog::new(header.attempt.clone(), program, name, route.name.clone());
     let version = routes.deployment().version;
-    trail.step(Event::new(EventKind::RequestArrived).version(version));
+    request_log.add_step(Event::new(EventKind::RequestArrived).version(version));
     // Equal requests of two customers are not the same one.
     let scope = customer.as_ref().map(|customer| customer.scoped(&caller));
     let caller = scope.unwrap_or(caller);
     Ok(Call {
-        trail,
+        request_log,
         method: method(&request)?,
         fingerprint: fingerprint(host, &target, &caller, &body),
         target,
--- a/gateway/src/lib.rs
+++ b/gateway/src/lib.rs
@@ -10,7 +10,7 @@
 //! | what the process believes of routes and endpoints | [`watch`], [`unusable`], [`entries`], [`gossip`], [`quarantine`] |
 //! | from whom it learns what changes in the store's tables | [`feeds`] |
 //! | calls to the store by other gateways, and questions to them | [`peers`], [`peer_connections`] |
-//! | what is written and counted | [`trail`], [`metrics`] |
+//! | what is written and counted | [`request_log`], [`metrics`] |
 //! | start, stop and changed settings | [`process`], [`reload`] |
 //!
 //! [`gateway`] is the state that they share. The decisions themselves are in
@@ -44,10 +44,10 @@
 pub mod recent_history;
 pub mod reload;
 pub mod reply;
+pub mod request_log;
 pub mod retention;
 pub mod runs;
 pub mod spending;
-pub mod trail;
 pub mod turn;
 pub mod turn_stream;
 pub mod unusable;
--- a/gateway/src/limits.rs
+++ b/gateway/src/limits.rs
@@ -155,7 +155,7 @@
         Some(allocator) => event.host(allocator),
         None => event,
     };
-    call.trail.step(match facts.response_age {
+    call.request_log.add_step(match facts.response_age {
         Some(heard) => event.age(heard),
         None => event,
     });
--- a/gateway/src/plain.rs
+++ b/gateway/src/plain.rs
@@ -72,8 +72,8 @@
     let status = head.status.as_u16();
     let elapsed = call.elapsed(gateway.clock.now());
     let in_time = elapsed <= call.route.objective;
-    call.trail
-        .served(&endpoint.instance, status, elapsed, in_time);
+    call.request_log
+        .record_served(&endpoint.instance, status, elapsed, in_time);
     gateway.metrics.count_request(call.route.kind, "answered");
     gateway.crashes.borrow_mut().clear(call.fingerprint);
     Exchanged::keep_connection(gateway, endpoint, exchanged.connection, &exchanged.header);
--- a/gateway/src/programs.rs
+++ b/gateway/src/programs.rs
@@ -32,7 +32,7 @@
         gateway.metrics.count_history_read(place);
         let elapsed = call.elapsed(gateway.clock.now());
         let event = Event::new(EventKind::HistoryRead).reason(place);
-        call.trail.step(event.elapsed(elapsed));
+        call.request_log.add_step(event.elapsed(elapsed));
     };
     let Some(previous) = &header.previous else {
         return Ok(None);
--- a/gateway/src/recall.rs
+++ b/gateway/src/recall.rs
@@ -24,7 +24,7 @@
 use crate::gateway::Gateway;
 use crate::peers;
 use crate::reply::Refusal;
-use crate::trail::Trail;
+use crate::request_log::RequestLog;
 
 /// Path under which a gateway answers its peers' questions. It lies beside the
 /// calls to the store that peers pass on, whose paths have one segment.
@@ -95,7 +95,7 @@
 pub async fn recall(
     gateway: &Gateway,
     program: &ProgramKey,
-    trail: &Trail,
+    trail: &RequestLog,
 ) -> Result<Recalled, Refusal> {
     let began = gateway.clock.now();
     let holdings = gateway.commits.holdings(program);
@@ -119,7 +119,7 @@
     if !words.is_empty() {
         let took = gateway.clock.now().saturating_sub(began);
         let event = Event::new(EventKind::HoldersAsked).holders(&words.join(","));
-        trail.step(event.elapsed(took));
+        trail.add_step(event.elapsed(took));
     }
     Ok(recalled)
 }
--- a/gateway/src/trail.rs
+++ b/gateway/src/request_log.rs
@@ -1,9 +1,11 @@
-//! What is written of a request.
+//! The log of one request's steps.
 //!
-//! Its steps are kept until it ends. Of a request that ended well one line is
-//! written; of one that was refused, failed, came late, was retried or left by
-//! its caller, every step with its time. That bounds the log by the requests
-//! and keeps the whole story of those that somebody will ask about.
+//! The steps are held in memory until the request ends. For a request that was
+//! answered in time and without incident, a single event is written. For a request
+//! that was refused, failed, answered late, retried or abandoned by its caller, all
+//! steps are written with their times. The size of the log is thereby bounded by the
+//! number of requests, and the requests that operators investigate are complete in
+//! it.
 
 use std::cell::{Cell, RefCell};
 use std::time::Duration;
@@ -11,22 +13,22 @@
 use rosebend_state::deployment::{AttemptId, CustomerName, ProgramKey};
 use rosebend_transport::event::{Event, EventKind, log_event, log_event_at, now_ms};
 
-/// The steps of one request.
+/// The log of one request's steps.
 #[derive(Debug)]
-pub struct Trail {
+pub struct RequestLog {
     attempt: AttemptId,
     program: Option<ProgramKey>,
     customer: Option<CustomerName>,
     route: String,
-    /// Steps with the time of day.
+    /// Steps, each with its wall-clock time in milliseconds.
     steps: RefCell<Vec<(u64, Event)>>,
-    /// Set when something happened for which the whole trail is wanted.
+    /// Whether a step occurred that requires all steps to be written.
     is_notable: Cell<bool>,
     has_ended: Cell<bool>,
 }
 
-impl Trail {
-    /// The trail of a request that has just been read.
+impl RequestLog {
+    /// Creates the log of a request that has just been read.
     pub fn new(
         attempt: AttemptId,
         program: Option<ProgramKey>,
@@ -45,19 +47,19 @@
     }
 
     /// Adds a step.
-    pub fn step(&self, event: Event) {
+    pub fn add_step(&self, event: Event) {
         let event = event.attempt(&self.attempt);
         self.steps.borrow_mut().push((now_ms(), event));
     }
 
-    /// Adds a step for which the whole trail is wanted.
-    pub fn notable(&self, event: Event) {
+    /// Adds a step that requires all steps of the request to be written.
+    pub fn add_notable_step(&self, event: Event) {
         self.is_notable.set(true);
-        self.step(event);
+        self.add_step(event);
     }
 
-    /// The request was answered by an endpoint, in time or late.
-    pub fn served(&self, endpoint: &str, status: u16, elapsed: Duration, in_time: bool) {
+    /// Records that an endpoint answered the request, in time or late.
+    pub fn record_served(&self, endpoint: &str, status: u16, elapsed: Duration, in_time: bool) {
         if self.has_ended.replace(true) {
             return;
         }
@@ -66,25 +68,26 @@
             true => EventKind::RequestEnded,
             false => EventKind::RequestServed,
         };
-        let event = self.about(Event::new(kind)).endpoint(endpoint);
+        let event = self.with_request(Event::new(kind)).endpoint(endpoint);
         let event = event.status(status).elapsed(elapsed);
         match (notable, in_time) {
             (false, _) => log_event(&event),
-            (true, true) => self.write(&event.reason("retried")),
-            (true, false) => self.write(&event.reason("late")),
+            (true, true) => self.write_all(&event.reason("retried")),
+            (true, false) => self.write_all(&event.reason("late")),
         }
     }
 
-    /// The request ended otherwise.
-    pub fn ended(&self, reason: &'static str, status: u16, elapsed: Duration) {
+    /// Records that the request ended without a complete answer of an endpoint.
+    pub fn record_ended(&self, reason: &'static str, status: u16, elapsed: Duration) {
         if self.has_ended.replace(true) {
             return;
         }
-        let event = self.about(Event::new(EventKind::RequestEnded));
-        self.write(&event.status(status).elapsed(elapsed).reason(reason));
+        let event = self.with_request(Event::new(EventKind::RequestEnded));
+        self.write_all(&event.status(status).elapsed(elapsed).reason(reason));
     }
 
-    fn about(&self, event: Event) -> Event {
+    /// Adds the identity of the request to an event.
+    fn with_request(&self, event: Event) -> Event {
         let event = event.attempt(&self.attempt).route(&self.route);
         let event = match &self.customer {
             Some(customer) => event.customer(customer),
@@ -96,7 +99,7 @@
         }
     }
 
-    fn write(&self, last: &Event) {
+    fn write_all(&self, last: &Event) {
         for (at_ms, step) in self.steps.borrow().iter() {
             log_event_at(step, *at_ms);
         }
@@ -104,11 +107,11 @@
     }
 }
 
-impl Drop for Trail {
+impl Drop for RequestLog {
     fn drop(&mut self) {
         if !self.has_ended.get() {
-            let event = self.about(Event::new(EventKind::RequestEnded));
-            self.write(&event.reason("caller-left"));
+            let event = self.with_request(Event::new(EventKind::RequestEnded));
+            self.write_all(&event.reason("caller-left"));
         }
     }
 }
--- a/gateway/src/runs.rs
+++ b/gateway/src/runs.rs
@@ -162,7 +162,9 @@
         }
         let (head, run) = self.next_run().await?;
         let event = Event::new(EventKind::StreamResumed).endpoint(&run.at.endpoint.instance);
-        self.call.trail.notable(event.reason(failure.as_str()));
+        self.call
+            .request_log
+            .add_notable_step(event.reason(failure.as_str()));
         self.gateway.metrics.count_resumption(failure);
         self.run = run;
         if !self.has_begun {
--- a/gateway/src/spending.rs
+++ b/gateway/src/spending.rs
@@ -146,11 +146,11 @@
             let event = Event::new(EventKind::EscrowRefused)
                 .amount(Amount::Budget, self.budget_tokens)
                 .amount(Amount::Most, self.most_tokens);
-            call.trail.step(event.elapsed(elapsed));
+            call.request_log.add_step(event.elapsed(elapsed));
             return Err(refusal);
         };
         let event = Event::new(EventKind::SpendingGranted).reason("escrow");
-        call.trail.step(event.elapsed(elapsed));
+        call.request_log.add_step(event.elapsed(elapsed));
         self.grant = Some(grant);
         self.reserving = None;
         Ok(())
@@ -258,7 +258,7 @@
         }
         let event = Event::new(EventKind::SpendingGranted).reason("reservation");
         let elapsed = call.elapsed(self.gateway.clock.now());
-        call.trail.step(event.elapsed(elapsed));
+        call.request_log.add_step(event.elapsed(elapsed));
         Ok(())
     }
 
--- a/gateway/src/spending/full_budget.rs
+++ b/gateway/src/spending/full_budget.rs
@@ -48,7 +48,7 @@
             let may_have_grants =
                 self.escrow.takes_grants() || self.filled_by() == FilledBy::Withheld;
             let is_closing = may_have_grants && self.close_slots().await;
-            let recalled = recall::recall(&self.gateway, &self.program, &call.trail).await?;
+            let recalled = recall::recall(&self.gateway, &self.program, &call.request_log).await?;
             let may_be_gone = !recalled.gone.is_empty();
             self.ask(recalled.gone);
             if self.outcome().await? != Some(Outcome::Exhausted) {
@@ -130,6 +130,6 @@
             .amount(Amount::Reserved, account.reserved_tokens)
             .holders(&holders.join(","))
             .elapsed(call.elapsed(self.gateway.clock.now()));
-        call.trail.step(event);
+        call.request_log.add_step(event);
     }
 }
--- a/gateway/src/turn_stream.rs
+++ b/gateway/src/turn_stream.rs
@@ -133,15 +133,15 @@
     /// Writes how the answer broke off.
     fn cut(&self, error: &io::Error) {
         self.call
-            .trail
-            .notable(Event::new(EventKind::AnswerBroken).error(error));
+            .request_log
+            .add_notable_step(Event::new(EventKind::AnswerBroken).error(error));
         self.gateway
             .metrics
             .count_request(self.call.route.kind, "cut");
         if self.has_begun {
             let elapsed = self.call.elapsed(self.gateway.clock.now());
             let status = self.runs.head().status.as_u16();
-            self.call.trail.ended("cut", status, elapsed);
+            self.call.request_log.record_ended("cut", status, elapsed);
         }
     }
 
@@ -213,9 +213,12 @@
             .crashes
             .borrow_mut()
             .clear(self.call.fingerprint);
-        self.call
-            .trail
-            .served(&self.runs.endpoint().instance, status, elapsed, in_time);
+        self.call.request_log.record_served(
+            &self.runs.endpoint().instance,
+            status,
+            elapsed,
+            in_time,
+        );
     }
 
     async fn record(&self, mut spending: Spending, record: Record) -> io::Result<()> {
@@ -235,7 +238,7 @@
                 let took = self.gateway.clock.now().saturating_sub(ended);
                 self.gateway.metrics.observe(Timing::Record, took);
                 let event = Event::new(EventKind::TurnRecorded).tokens(spending.tokens());
-                self.call.trail.step(event.elapsed(took));
+                self.call.request_log.add_step(event.elapsed(took));
                 self.gateway.history.borrow_mut().insert(Arc::clone(&turn));
                 recent_history::keep(&self.gateway, turn);
                 Ok(())
