--- a/gateway/src/front.rs
+++ b/gateway/src/front.rs
@@ -1,8 +1,9 @@
-//! The HTTP/1.1 servers of the process.
+//! The HTTP/1.1 listeners of the process: for callers, for status requests and for
+//! peers.
 //!
-//! Connections are accepted and served on the process's one thread, so
-//! `actix-http` is driven directly instead of through `actix-server`, which
-//! would add a thread that accepts and one that works.
+//! Connections are accepted and served on the single thread of the process.
+//! Therefore `actix-http` is used directly instead of through `actix-server`, which
+//! would add an acceptor thread and a worker thread.
 
 use std::cell::RefCell;
 use std::convert::Infallible;
@@ -24,26 +25,27 @@
 use crate::gateway::Gateway;
 use crate::peers;
 
-/// Connections that may wait to be accepted. When the queue is full, a
-/// caller's opening packet is dropped and comes again only after a second.
+/// Maximum number of connections that wait to be accepted. When the queue is full,
+/// the kernel drops a caller's SYN packet, which is retransmitted only after a second.
 const BACKLOG: i32 = 1_024;
-/// Path of the metrics page.
+/// Path of the metrics endpoint.
 const METRICS_PATH: &str = "/metrics";
-/// Idle time of callers' connections before the operators' limit is known.
+/// Idle timeout of connections before the declared limits are loaded.
 const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(60);
-/// Wait for a request's head before the operators' limit is known.
+/// Timeout for the head of a request before the declared limits are loaded.
 const DEFAULT_HEADER_TIMEOUT: Duration = Duration::from_secs(5);
-/// How long beyond the operators' limit an idle connection is kept, so that a
-/// caller within the limit never meets a close.
-const IDLE_SLACK: Duration = Duration::from_secs(2);
-/// Pause after a connection could not be accepted, for want of descriptors.
+/// Time for which an idle connection is kept beyond the declared limit, so that a
+/// caller that reuses it within the limit does not find it closed.
+const IDLE_TIMEOUT_MARGIN: Duration = Duration::from_secs(2);
+/// Pause after a connection could not be accepted, usually because the process has no
+/// free file descriptor.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 
-/// Opens a listener.
+/// Opens a TCP listener.
 ///
 /// # Errors
 ///
-/// Fails when the address is not free or not this host's.
+/// Returns an error if the address is in use or does not belong to this host.
 pub fn listen(address: SocketAddr) -> io::Result<TcpListener> {
     let socket = Socket::new(
         Domain::for_address(address),
@@ -57,21 +59,21 @@
     TcpListener::from_std(socket.into())
 }
 
-/// Serves callers until `closing` is true; open connections go on until they
-/// are idle.
+/// Serves callers until `closing` is true. Open connections are then served until
+/// they are idle.
 pub async fn serve_callers(
     gateway: Rc<Gateway>,
     listener: TcpListener,
     mut closing: watch::Receiver<bool>,
 ) {
-    let service = CallerService::default();
+    let connections = CallerConnections::default();
     loop {
         let accepted = tokio::select! {
             accepted = listener.accept() => accepted,
             _ = closing.wait_for(|closing| *closing) => return,
         };
         match accepted {
-            Ok((stream, peer)) => service.serve(&gateway, stream, peer, closing.clone()),
+            Ok((stream, peer)) => connections.serve(&gateway, stream, peer, closing.clone()),
             Err(error) => {
                 log_event(&Event::new(EventKind::AcceptFailed).error(&error));
                 tokio::time::sleep(ACCEPT_PAUSE).await;
@@ -80,21 +82,22 @@
     }
 }
 
-type Serve = Rc<dyn Fn(TcpStream, SocketAddr)>;
+type ConnectionHandler = Rc<dyn Fn(TcpStream, SocketAddr)>;
 
-/// The service for callers' connections, made anew when the limits change.
+/// Serves callers' connections with a handler that is replaced when the declared
+/// timeouts change.
 #[derive(Default)]
-struct CallerService {
-    current: RefCell<Option<(Limits, Serve)>>,
+struct CallerConnections {
+    current: RefCell<Option<(ConnectionTimeouts, ConnectionHandler)>>,
 }
 
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-struct Limits {
+struct ConnectionTimeouts {
     header_timeout: Duration,
     idle_timeout: Duration,
 }
 
-impl CallerService {
+impl CallerConnections {
     fn serve(
         &self,
         gateway: &Rc<Gateway>,
@@ -103,16 +106,16 @@
         closing: watch::Receiver<bool>,
     ) {
         if stream.set_nodelay(true).is_err() {
-            // The caller has gone already.
+            // The caller has already closed the connection.
             return;
         }
-        let limits = limits(gateway);
+        let timeouts = connection_timeouts(gateway);
         let mut current = self.current.borrow_mut();
         let serve = match &*current {
-            Some((made_for, serve)) if *made_for == limits => Rc::clone(serve),
+            Some((previous, serve)) if *previous == timeouts => Rc::clone(serve),
             _ => {
-                let serve = caller_service(Rc::clone(gateway), limits, closing);
-                *current = Some((limits, Rc::clone(&serve)));
+                let serve = caller_handler(Rc::clone(gateway), timeouts, closing);
+                *current = Some((timeouts, Rc::clone(&serve)));
                 serve
             }
         };
@@ -120,27 +123,36 @@
     }
 }
 
-fn limits(gateway: &Gateway) -> Limits {
+fn connection_timeouts(gateway: &Gateway) -> ConnectionTimeouts {
     let routes = gateway.routes();
     let limits = routes.as_ref().map(|routes| routes.deployment().limits);
-    Limits {
+    ConnectionTimeouts {
         header_timeout: limits.map_or(DEFAULT_HEADER_TIMEOUT, |limits| limits.header_timeout),
         idle_timeout: limits.map_or(DEFAULT_IDLE_TIMEOUT, |limits| {
-            limits.idle_timeout + IDLE_SLACK
+            limits.idle_timeout + IDLE_TIMEOUT_MARGIN
         }),
     }
 }
 
-fn caller_service(gateway: Rc<Gateway>, limits: Limits, closing: watch::Receiver<bool>) -> Serve {
+fn caller_handler(
+    gateway: Rc<Gateway>,
+    timeouts: ConnectionTimeouts,
+    closing: watch::Receiver<bool>,
+) -> ConnectionHandler {
     let handler = move |request: Request| {
         let gateway = Rc::clone(&gateway);
         async move { Ok::<_, Infallible>(dispatch::answer(gateway, request).await) }
     };
-    serve_with(handler, limits, closing)
+    connection_handler(handler, timeouts, closing)
 }
 
-/// Serves connections with a handler, each in a task of its own.
-fn serve_with<F, R>(handler: F, limits: Limits, closing: watch::Receiver<bool>) -> Serve
+/// Creates a handler that serves each connection in a task of its own and answers
+/// its requests with `handler`.
+fn connection_handler<F, R>(
+    handler: F,
+    timeouts: ConnectionTimeouts,
+    closing: watch::Receiver<bool>,
+) -> ConnectionHandler
 where
     F: Fn(Request) -> R + Clone + 'static,
     R: Future<Output = Result<Response<BoxBody>, Infallible>> + 'static,
@@ -148,49 +160,50 @@
     Rc::new(move |stream, peer| {
         let closing = closing.clone();
         let service = HttpService::build()
-            .keep_alive(limits.idle_timeout)
-            .client_request_timeout(limits.header_timeout)
-            // A caller that closes its connection has left; its work stops.
+            .keep_alive(timeouts.idle_timeout)
+            .client_request_timeout(timeouts.header_timeout)
+            // A caller that closes its side of the connection abandons its requests.
             .h1_allow_half_closed(false)
-            .graceful_shutdown_signal(move || until_true(closing.clone()))
+            .graceful_shutdown_signal(move || wait_until_true(closing.clone()))
             .h1(fn_service(handler.clone()).into_factory());
         actix_rt::spawn(async move {
             let Ok(service) = service.new_service(()).await else {
                 return;
             };
-            // How a request on it ended is in the log of that request.
+            // The outcome of each request on the connection is in the log of that request.
             let _ = service.call((stream, Some(peer))).await;
         });
     })
 }
 
-/// Waits until `flag` is true; forever when its sender is gone before that.
-async fn until_true(mut flag: watch::Receiver<bool>) {
+/// Waits until `flag` is true. If the sender is dropped before that, the function
+/// never returns.
+async fn wait_until_true(mut flag: watch::Receiver<bool>) {
     if flag.wait_for(|closing| *closing).await.is_err() {
         std::future::pending::<()>().await;
     }
 }
 
-/// Serves the balancer's question and the metrics page until the process ends.
+/// Serves the load balancer's readiness checks and the metrics until the process ends.
 pub async fn serve_status(gateway: Rc<Gateway>, listener: TcpListener) {
     let handler = move |request: Request| {
-        let response = status(&gateway, &request);
+        let response = status_response(&gateway, &request);
         async move { Ok::<_, Infallible>(response) }
     };
-    serve_always(listener, handler).await;
+    serve_until_exit(listener, handler).await;
 }
 
-async fn serve_always<F, R>(listener: TcpListener, handler: F)
+async fn serve_until_exit<F, R>(listener: TcpListener, handler: F)
 where
     F: Fn(Request) -> R + Clone + 'static,
     R: Future<Output = Result<Response<BoxBody>, Infallible>> + 'static,
 {
-    let limits = Limits {
+    let timeouts = ConnectionTimeouts {
         header_timeout: DEFAULT_HEADER_TIMEOUT,
         idle_timeout: DEFAULT_IDLE_TIMEOUT,
     };
-    let (_open, never) = watch::channel(false);
-    let serve = serve_with(handler, limits, never);
+    let (_sender, never_closing) = watch::channel(false);
+    let serve = connection_handler(handler, timeouts, never_closing);
     loop {
         match listener.accept().await {
             Ok((stream, peer)) => serve(stream, peer),
@@ -199,13 +212,14 @@
     }
 }
 
-/// Passes on peers' calls to the store until the process ends.
+/// Serves requests of other gateways, such as calls to be forwarded to the store, until
+/// the process ends.
 pub async fn serve_peers(gateway: Rc<Gateway>, listener: TcpListener) {
     let handler = move |request: Request| peers::pass_on(Rc::clone(&gateway), request);
-    serve_always(listener, handler).await;
+    serve_until_exit(listener, handler).await;
 }
 
-fn status(gateway: &Gateway, request: &Request) -> Response<BoxBody> {
+fn status_response(gateway: &Gateway, request: &Request) -> Response<BoxBody> {
     if request.path() == METRICS_PATH {
         let page = gateway.metrics.page(&gateway.quantities());
         return Response::with_body(StatusCode::OK, page.boxed());
--- a/gateway/src/intake.rs
+++ b/gateway/src/intake.rs
@@ -1,4 +1,4 @@
-//! Reads a caller's request, and finds its route.
+//! Reads a caller's request and determines its route, service and customer.
 
 use std::cell::Cell;
 use std::sync::Arc;
@@ -21,17 +21,18 @@
 use crate::reply::Refusal;
 use crate::request_log::RequestLog;
 
-/// Longest wait for the rest of a body.
+/// Maximum time for a complete body to arrive.
 const BODY_TIMEOUT: Duration = Duration::from_secs(10);
-/// Bytes of an oversized body that are read on and thrown away, so that the
-/// caller gets to see the answer.
-const MAX_SKIPPED_BYTES: usize = 1 << 20;
+/// Maximum number of bytes of an oversized body that are read and discarded. A caller
+/// that is still sending when the connection closes would not receive the response.
+const MAX_DISCARDED_BYTES: usize = 1 << 20;
 
-/// Reads a request that arrived at a time since the start of the process.
+/// Reads a request. `arrived` is the time of its arrival since the start of the
+/// process.
 ///
 /// # Errors
 ///
-/// Says what about it cannot be served.
+/// Returns the reason if the request cannot be served.
 pub async fn read(
     gateway: &Gateway,
     mut request: Request,
@@ -43,35 +44,40 @@
     if head_bytes(&request, headers) > limits.max_header_bytes {
         return Err(Refusal::HeadTooLarge);
     }
-    // What the head refuses by itself needs no body.
-    place(gateway, &routes, &request, headers)?;
+    // A request that is refused because of its head is refused before its body is read.
+    find_route_and_customer(gateway, &routes, &request, headers)?;
     let body = read_body(&mut request, limits.max_body_bytes).await?;
-    // Read the newest routes: the body may have taken a while.
+    // The routes may have changed while the body was read.
     let routes = gateway.routes().unwrap_or(routes);
-    let (route, customer) = place(gateway, &routes, &request, headers)?;
+    let (route, customer) = find_route_and_customer(gateway, &routes, &request, headers)?;
     let caller = request.peer_addr().map(|peer| peer.ip().to_string());
     let caller = caller.unwrap_or_default();
     let header = headers::decode_call(headers).map_err(Refusal::InvalidHeader)?;
     let host = headers::host(headers).map_err(Refusal::InvalidHeader)?;
-    let subject = header
+    let affinity_key = header
         .program
         .as_ref()
         .map_or(&header.attempt, |program| &program.program);
-    let service = service_for(route, subject).clone();
-    let time = header.deadline.unwrap_or(route.timeout).min(route.timeout);
+    let service = service_for(route, affinity_key).clone();
+    let time_limit = header.deadline.unwrap_or(route.timeout).min(route.timeout);
     let target = request.uri().path_and_query();
     let target = target.map_or("/", |target| target.as_str()).to_owned();
     let program = header
         .program
         .as_ref()
         .map(|program| program.program.clone());
-    let name = customer.as_ref().map(|customer| customer.name.clone());
-    let request_log = RequestLog::new(header.attempt.clone(), program, name, route.name.clone());
+    let customer_name = customer.as_ref().map(|customer| customer.name.clone());
+    let request_log = RequestLog::new(
+        header.attempt.clone(),
+        program,
+        customer_name,
+        route.name.clone(),
+    );
     let version = routes.deployment().version;
     request_log.add_step(Event::new(EventKind::RequestArrived).version(version));
-    // Equal requests of two customers are not the same one.
-    let scope = customer.as_ref().map(|customer| customer.scoped(&caller));
-    let caller = scope.unwrap_or(caller);
+    // Identical requests of different customers have different fingerprints.
+    let scoped_caller = customer.as_ref().map(|customer| customer.scoped(&caller));
+    let caller = scoped_caller.unwrap_or(caller);
     Ok(Call {
         request_log,
         method: method(&request)?,
@@ -84,17 +90,18 @@
         route: route.clone(),
         service,
         arrived,
-        deadline: arrived + time,
+        deadline: arrived + time_limit,
         counted_class: Cell::default(),
     })
 }
 
-/// The route of a request and its customer, by the head alone.
+/// Determines the route of a request and its customer from the head of the request.
 ///
 /// # Errors
 ///
-/// Says why there is none.
-fn place<'a>(
+/// Returns the reason if the request has no route, or has no valid key although one
+/// is required.
+fn find_route_and_customer<'a>(
     gateway: &Gateway,
     routes: &'a RouteTable,
     request: &Request,
@@ -112,23 +119,24 @@
     Ok((route, customer))
 }
 
-/// Headers that go on to an endpoint; where customers are declared, with the name of
-/// the request's.
+/// Returns the headers that are forwarded to an endpoint. If customers are declared,
+/// they include the name of the request's customer.
 fn for_endpoint(
     headers: &HeaderMap,
     deployment: &Deployment,
     customer: Option<&Customer>,
 ) -> HeaderMap {
-    let mut kept = headers::for_endpoint(headers);
+    let mut forwarded = headers::for_endpoint(headers);
     if deployment.customers.is_some() {
-        headers::name_customer(&mut kept, customer);
+        headers::name_customer(&mut forwarded, customer);
     }
-    kept
+    forwarded
 }
 
-/// Bytes of a request's head, as they would be written.
+/// Returns the length of a request's head in bytes, as it is sent in HTTP/1.1.
 fn head_bytes(request: &Request, headers: &HeaderMap) -> usize {
-    // " HTTP/1.1" with its space and line end, and ": " with a line end each.
+    // The request line has two spaces, "HTTP/1.1" and a line end, 12 bytes in total;
+    // each field has ": " and a line end.
     let line = request.method().as_str().len() + request.uri().to_string().len() + 12;
     let fields = headers.iter();
     let fields = fields.map(|(name, value)| name.as_str().len() + value.len() + 4);
@@ -148,26 +156,26 @@
 async fn collect_body(request: &mut Request, max_bytes: usize) -> Result<Bytes, Refusal> {
     let mut payload = request.take_payload();
     let mut body = BytesMut::new();
-    let mut skipped_bytes = 0;
+    let mut discarded_bytes = 0;
     while let Some(chunk) = payload.next().await {
         let chunk = chunk.map_err(|_: PayloadError| Refusal::BodyIncomplete)?;
-        if skipped_bytes == 0 && body.len() + chunk.len() <= max_bytes {
+        if discarded_bytes == 0 && body.len() + chunk.len() <= max_bytes {
             body.extend_from_slice(&chunk);
             continue;
         }
-        skipped_bytes += chunk.len();
-        if skipped_bytes > MAX_SKIPPED_BYTES {
+        discarded_bytes += chunk.len();
+        if discarded_bytes > MAX_DISCARDED_BYTES {
             break;
         }
     }
-    match skipped_bytes {
+    match discarded_bytes {
         0 => Ok(body.freeze()),
         _ => Err(Refusal::BodyTooLarge),
     }
 }
 
-/// Copies headers from the server's own type; the two libraries use different
-/// versions of it.
+/// Copies headers from the header map of `actix-http`, which uses another version of
+/// the `http` crate.
 pub fn to_http(from: &actix_http::header::HeaderMap) -> HeaderMap {
     let mut headers = HeaderMap::with_capacity(from.len());
     for (name, value) in from {
