--- a/gateway/src/gateway.rs
+++ b/gateway/src/gateway.rs
@@ -25,7 +25,7 @@
 use crate::feeds::{Feeds, FollowedTable};
 use crate::holders::HolderAddresses;
 use crate::joined_commits::JoinedCommits;
-use crate::limits::Limits;
+use crate::limits::RateLimiter;
 use crate::metrics::{Metrics, Quantities};
 use crate::pool::Pool;
 use crate::recent_history::RecentHistory;
@@ -74,7 +74,7 @@
     /// History of programs that is kept for other hosts.
     pub recent_history: RecentHistory,
     /// Customers' limits.
-    pub limits: Limits,
+    pub limits: RateLimiter,
     /// What may be spent while the store is unavailable.
     pub escrow: Escrow,
     /// Rows that are to be deleted one day.
@@ -125,7 +125,7 @@
             pool: RefCell::default(),
             history: RefCell::new(TurnCache::new(HISTORY_BYTES)),
             recent_history: RecentHistory::new(run.clone()),
-            limits: Limits::new(run.clone(), tolerance(&settings.customers)),
+            limits: RateLimiter::new(run.clone(), tolerance(&settings.customers)),
             escrow: Escrow::new(run.clone()),
             retention: Retention::default(),
             holders: HolderAddresses::default(),
@@ -169,7 +169,7 @@
         unusable::log_customers(&routes);
         let customers = routes.deployment().customers.as_ref();
         self.limits
-            .declare(customers.map(Customers::limits).unwrap_or_default());
+            .set_limits(customers.map(Customers::limits).unwrap_or_default());
         *current = Some(Rc::new(routes));
         true
     }
--- a/gateway/src/gossip.rs
+++ b/gateway/src/gossip.rs
@@ -147,7 +147,7 @@
         let Ok((bytes, from)) = socket.recv_from(&mut buffer).await else {
             continue;
         };
-        if let Some(message) = buffer[..bytes].strip_prefix(&limits::MARK) {
+        if let Some(message) = buffer[..bytes].strip_prefix(&limits::DATAGRAM_PREFIX) {
             limits::on_message(&gateway, message, from);
             continue;
         }
--- a/gateway/src/limits.rs
+++ b/gateway/src/limits.rs
@@ -1,8 +1,9 @@
-//! Customers' limits: asks their allocators, and answers as one.
+//! Enforces the rate limits of customers: exchanges quota requests and grants with
+//! other hosts, and lets requests wait for a grant.
 //!
-//! The decisions are in `rosebend_coordination::gateway::limits`. Messages are
-//! datagrams: one that is lost is asked for again, and one that comes from no run
-//! of a gateway that this host knows changes nothing.
+//! The decisions are in `rosebend_coordination::gateway::limits`. Messages are sent
+//! as datagrams. A lost datagram is replaced by a later request, and a datagram of a
+//! process that does not belong to the deployment is ignored.
 
 use std::cell::{OnceCell, RefCell};
 use std::collections::HashMap;
@@ -26,15 +27,17 @@
 use crate::gateway::Gateway;
 use crate::reply::Refusal;
 
-/// Begins every datagram of this module; no other begins so.
-pub const MARK: [u8; 2] = *b"L1";
-/// Timeout for a grant from the allocator.
+/// Prefix of every datagram of this module. The datagrams of other modules have other
+/// prefixes.
+pub const DATAGRAM_PREFIX: [u8; 2] = *b"L1";
+/// Maximum time for which a request waits for a grant of the allocator.
 const GRANT_TIMEOUT: Duration = Duration::from_millis(60);
-/// Pause before a waiting request asks again: datagrams are lost.
-const ASK_AGAIN: Duration = Duration::from_millis(21);
-/// Shortest retry time where the allocator did not answer.
+/// Time after which a waiting request requests a grant again, because datagrams may be
+/// lost.
+const RETRANSMIT_INTERVAL: Duration = Duration::from_millis(21);
+/// Minimum retry time after the allocator did not respond.
 const MIN_RETRY_AFTER: Duration = Duration::from_millis(200);
-/// Time between two reports to allocators.
+/// Interval at which requests and reports to allocators are checked and sent if due.
 const REPORT_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Messages that gateways exchange to enforce rate limits.
@@ -44,33 +47,34 @@
     Answer(AllocatorResponse),
 }
 
-/// Customers' limits, as this host keeps to them and hands them out.
+/// Enforces customers' limits on this host, and allocates those for which this host is
+/// the allocator.
 #[derive(Debug)]
-pub struct Limits {
+pub struct RateLimiter {
     state: RefCell<HostLimits<SocketAddr>>,
     socket: OnceCell<Rc<UdpSocket>>,
-    /// Wakes requests that wait, with each answer.
-    answered: Notify,
+    /// Wakes waiting requests after each response of an allocator.
+    response_received: Notify,
 }
 
-impl Limits {
-    /// No customer and no other host known.
-    pub fn new(own_run: ProcessId, tolerance: Tolerance) -> Self {
+impl RateLimiter {
+    /// Creates a rate limiter without customers and without other hosts.
+    pub fn new(own_process: ProcessId, tolerance: Tolerance) -> Self {
         Self {
-            state: RefCell::new(HostLimits::new(own_run, tolerance)),
+            state: RefCell::new(HostLimits::new(own_process, tolerance)),
             socket: OnceCell::new(),
-            answered: Notify::new(),
+            response_received: Notify::new(),
         }
     }
 
-    /// Sends by this socket from now on.
+    /// Sets the socket through which messages are sent.
     pub fn set_socket(&self, socket: Rc<UdpSocket>) {
-        // The process has one socket for datagrams, and sets it once.
+        // The process sets its only datagram socket once, so this never fails.
         let _ = self.socket.set(socket);
     }
 
-    /// Takes the limits that operators declare.
-    pub fn declare(&self, limits: HashMap<CustomerName, CustomerLimit>) {
+    /// Replaces the limits with those that operators have declared.
+    pub fn set_limits(&self, limits: HashMap<CustomerName, CustomerLimit>) {
         self.state.borrow_mut().set_limits(limits);
     }
 
@@ -79,7 +83,7 @@
         self.state.borrow_mut().set_tolerance(tolerance);
     }
 
-    /// Takes all hosts that are there, this one among them.
+    /// Replaces the set of known hosts, which includes this host.
     pub fn set_hosts(&self, hosts: Vec<PeerHost<SocketAddr>>) {
         self.state.borrow_mut().set_hosts(hosts);
     }
@@ -88,44 +92,46 @@
         let Some(socket) = self.socket.get() else {
             return;
         };
-        let mut datagram = MARK.to_vec();
-        serde_json::to_writer(&mut datagram, message).expect("text and numbers have a JSON form");
-        // A full link, or a host that is gone: whoever waits asks again.
+        let mut datagram = DATAGRAM_PREFIX.to_vec();
+        serde_json::to_writer(&mut datagram, message).expect("a message can be serialized as JSON");
+        // A datagram that cannot be sent counts as lost; waiting requests send another one.
         let _ = socket.try_send_to(&datagram, to);
     }
 
     fn request_grant(&self, customer: &str, now: Duration) {
-        let ask = self.state.borrow_mut().urgent_request(customer, now);
-        if let Some((to, ask)) = ask {
-            self.send(to, &Message::Ask(ask));
+        let request = self.state.borrow_mut().urgent_request(customer, now);
+        if let Some((to, request)) = request {
+            self.send(to, &Message::Ask(request));
         }
     }
 }
 
-/// Whether a customer's limit allows a request, which counts there from then on.
+/// Checks a request against its customer's limit. An admitted request is counted
+/// against the limit.
 ///
 /// # Errors
 ///
-/// Says that it does not, or that nobody can tell.
+/// Returns an error if the limit does not allow the request, or if the allocator does
+/// not respond.
 pub async fn admit(gateway: &Gateway, call: &Call) -> Result<(), Refusal> {
     let Some(customer) = &call.customer else {
         return Ok(());
     };
     let customer = customer.name.as_str();
-    let demand = demand_of(call);
+    let class = request_class(call);
     let now = gateway.clock.now();
     let decision = gateway
         .limits
         .state
         .borrow_mut()
-        .decide(customer, demand, now);
+        .decide(customer, class, now);
     let decision = match decision {
-        Decision::AwaitGrant => wait(gateway, customer, demand).await,
+        Decision::AwaitGrant => await_grant(gateway, customer, class).await,
         decision => decision,
     };
     match decision {
         Decision::Admit => {
-            call.counted_class.set(Some(demand));
+            call.counted_class.set(Some(class));
             Ok(())
         }
         Decision::Refuse(wait) => Err(log_refusal(gateway, call, Refusal::LimitExceeded(wait))),
@@ -137,81 +143,82 @@
     }
 }
 
-/// Logs a refusal with what decided it.
+/// Logs a refusal with the state on which it is based.
 fn log_refusal(gateway: &Gateway, call: &Call, refusal: Refusal) -> Refusal {
     let customer = call.customer.as_ref();
     let customer = customer.map_or("", |customer| customer.name.as_str());
     let now = gateway.clock.now();
-    let facts = gateway.limits.state.borrow().status(customer, now);
-    let demand = match demand_of(call) {
+    let limit_status = gateway.limits.state.borrow().status(customer, now);
+    let class = match request_class(call) {
         RequestClass::ProgramStart => "begins-program",
         RequestClass::Continuation => "under-way",
     };
     let wait = refusal.retry_after().unwrap_or_default();
     let event = Event::new(EventKind::LimitRefused).customer(customer);
-    let event = event.reason(demand).wait_ms(whole_ms(wait));
-    let event = event.count(facts.served);
-    let event = match &facts.allocator {
+    let event = event.reason(class).wait_ms(whole_ms(wait));
+    let event = event.count(limit_status.served);
+    let event = match &limit_status.allocator {
         Some(allocator) => event.host(allocator),
         None => event,
     };
-    call.request_log.add_step(match facts.response_age {
-        Some(heard) => event.age(heard),
+    call.request_log.add_step(match limit_status.response_age {
+        Some(since_response) => event.age(since_response),
         None => event,
     });
     refusal
 }
 
-/// Takes a request out of its customer's count that counts there and did not run.
+/// Subtracts a request that did not run from its customer's count, if it was counted.
 pub fn refund_request(gateway: &Gateway, call: &Call) {
-    if let (Some(customer), Some(demand)) = (&call.customer, call.counted_class.take()) {
+    if let (Some(customer), Some(class)) = (&call.customer, call.counted_class.take()) {
         let mut state = gateway.limits.state.borrow_mut();
-        state.refund(&customer.name, demand);
+        state.refund(&customer.name, class);
     }
 }
 
-fn demand_of(call: &Call) -> RequestClass {
+fn request_class(call: &Call) -> RequestClass {
     match call.starts_program() {
         true => RequestClass::ProgramStart,
         false => RequestClass::Continuation,
     }
 }
 
-/// Counts a waiting request until it is dropped, also when its caller leaves.
-struct Waiting<'a> {
-    limits: &'a Limits,
+/// Counts a request as waiting until this guard is dropped, also if the caller closes
+/// its connection meanwhile.
+struct WaitingRequest<'a> {
+    limits: &'a RateLimiter,
     customer: &'a str,
-    demand: RequestClass,
+    class: RequestClass,
 }
 
-impl<'a> Waiting<'a> {
-    fn begin(limits: &'a Limits, customer: &'a str, demand: RequestClass) -> Self {
-        limits.state.borrow_mut().add_waiting(customer, demand);
+impl<'a> WaitingRequest<'a> {
+    fn register(limits: &'a RateLimiter, customer: &'a str, class: RequestClass) -> Self {
+        limits.state.borrow_mut().add_waiting(customer, class);
         Self {
             limits,
             customer,
-            demand,
+            class,
         }
     }
 }
 
-impl Drop for Waiting<'_> {
+impl Drop for WaitingRequest<'_> {
     fn drop(&mut self) {
         let mut state = self.limits.state.borrow_mut();
-        state.remove_waiting(self.customer, self.demand);
+        state.remove_waiting(self.customer, self.class);
     }
 }
 
-async fn wait(gateway: &Gateway, customer: &str, demand: RequestClass) -> Decision {
+async fn await_grant(gateway: &Gateway, customer: &str, class: RequestClass) -> Decision {
     let limits = &gateway.limits;
     let until = gateway.clock.now() + GRANT_TIMEOUT;
-    let _waiting = Waiting::begin(limits, customer, demand);
+    let _waiting = WaitingRequest::register(limits, customer, class);
     loop {
-        let answered = limits.answered.notified();
+        let response_received = limits.response_received.notified();
         let now = gateway.clock.now();
         limits.request_grant(customer, now);
-        // What this host allocates itself is there at once.
-        let decision = limits.state.borrow_mut().decide(customer, demand, now);
+        // If this host is the allocator, the request was already handled locally.
+        let decision = limits.state.borrow_mut().decide(customer, class, now);
         if decision != Decision::AwaitGrant {
             return decision;
         }
@@ -219,50 +226,51 @@
             return limits
                 .state
                 .borrow_mut()
-                .decide_after_timeout(customer, demand, now);
+                .decide_after_timeout(customer, class, now);
         }
-        let pause = tokio::time::sleep(ASK_AGAIN.min(until - now));
+        let pause = tokio::time::sleep(RETRANSMIT_INTERVAL.min(until - now));
         tokio::select! {
-            () = answered => {}
+            () = response_received => {}
             () = pause => {}
         }
     }
 }
 
-/// Reports to allocators, for ever.
+/// Periodically sends the due requests and reports to allocators, and never returns.
 pub async fn run(gateway: Rc<Gateway>) {
     loop {
         tokio::time::sleep(REPORT_INTERVAL).await;
         let now = gateway.clock.now();
-        let asks = {
+        let requests = {
             let mut state = gateway.limits.state.borrow_mut();
             state.expire(now);
             state.due_requests(now)
         };
-        for (to, ask) in asks {
-            gateway.limits.send(to, &Message::Ask(ask));
+        for (to, request) in requests {
+            gateway.limits.send(to, &Message::Ask(request));
         }
     }
 }
 
-/// Handles a message of another gateway.
+/// Handles a datagram of another gateway, without its prefix.
 pub fn on_message(gateway: &Gateway, message: &[u8], from: SocketAddr) {
-    // What no gateway of this version sent is passed over, as one that is lost.
+    // A message that cannot be decoded, such as one of another version, is treated as
+    // lost.
     let Ok(message) = serde_json::from_slice(message) else {
         return;
     };
     let limits = &gateway.limits;
     let now = gateway.clock.now();
     match message {
-        Message::Ask(ask) => {
-            let answer = limits.state.borrow_mut().handle_request(&ask, now);
-            if let Some(answer) = answer {
-                limits.send(from, &Message::Answer(answer));
+        Message::Ask(request) => {
+            let response = limits.state.borrow_mut().handle_request(&request, now);
+            if let Some(response) = response {
+                limits.send(from, &Message::Answer(response));
             }
         }
-        Message::Answer(answer) => {
-            if limits.state.borrow_mut().handle_response(&answer, now) {
-                limits.answered.notify_waiters();
+        Message::Answer(response) => {
+            if limits.state.borrow_mut().handle_response(&response, now) {
+                limits.response_received.notify_waiters();
             }
         }
     }
--- a/gateway/src/reply.rs
+++ b/gateway/src/reply.rs
@@ -92,13 +92,13 @@
 
 /// Retry time after no endpoint was available. It is about the time in which a slot
 /// of an endpoint is freed.
-const ENDPOINT_RETRY_AFTER: Duration = Duration::from_millis(100);
+const ENDPOINT_RETRY: Duration = Duration::from_millis(100);
 /// Retry time if this host has not loaded or not recently confirmed the routes and
 /// keys. The retry goes to another host.
-const UNCONFIRMED_RETRY_AFTER: Duration = Duration::from_millis(200);
+const STALE_RETRY: Duration = Duration::from_millis(200);
 /// Retry time if the route or customer is declared with a value that can't be used.
 /// Operators need at least seconds to write another version.
-const DECLARATION_RETRY_AFTER: Duration = Duration::from_secs(1);
+const DECLARATION_RETRY: Duration = Duration::from_secs(1);
 
 impl From<RouteError> for Refusal {
     fn from(error: RouteError) -> Self {
@@ -121,7 +121,7 @@
 
 /// Retry time if the budget depends on a settlement. A settlement is one write to the
 /// store, which takes 13 to 17 ms, or longer while the store is busy.
-const SETTLEMENT_RETRY_AFTER: Duration = Duration::from_millis(50);
+const SETTLEMENT_RETRY: Duration = Duration::from_millis(50);
 
 impl Refusal {
     /// Returns the code that logs, metrics and problem documents contain.
@@ -187,15 +187,13 @@
     /// time is given.
     pub fn retry_after(self) -> Option<Duration> {
         match self {
-            Self::NoEndpointAvailable => Some(ENDPOINT_RETRY_AFTER),
+            Self::NoEndpointAvailable => Some(ENDPOINT_RETRY),
             Self::Overloaded(retry_after) => Some(retry_after),
-            Self::BudgetUnsettled => Some(SETTLEMENT_RETRY_AFTER),
+            Self::BudgetUnsettled => Some(SETTLEMENT_RETRY),
             Self::StoreUnreachable(outage) => Some(after_outage(outage)),
             Self::LimitExceeded(wait) | Self::LimitUnknown(wait) => Some(wait),
-            Self::NotReady | Self::KeysUnconfirmed | Self::RoutesUnconfirmed => {
-                Some(UNCONFIRMED_RETRY_AFTER)
-            }
-            Self::RouteUnusable | Self::KeyUnusable => Some(DECLARATION_RETRY_AFTER),
+            Self::NotReady | Self::KeysUnconfirmed | Self::RoutesUnconfirmed => Some(STALE_RETRY),
+            Self::RouteUnusable | Self::KeyUnusable => Some(DECLARATION_RETRY),
             _ => None,
         }
     }
