--- a/gateway/src/runs.rs
+++ b/gateway/src/runs.rs
@@ -1,8 +1,9 @@
-//! The bytes of one streamed answer, from one endpoint, or from several one
-//! after another where the route lets a stream be resumed.
+//! Reads one streamed answer, which consists of one or more runs.
 //!
-//! The run before is stopped, by closing its connection, before the next one is
-//! asked for: two endpoints never work on one answer at once.
+//! A run is one execution of the request at one endpoint. If a run fails and the route
+//! allows resumption, another endpoint continues the answer in a new run. The failed
+//! run is stopped by closing its connection before the next one is requested, so that
+//! two endpoints never work on the same answer at the same time.
 
 use std::io;
 use std::rc::Rc;
@@ -24,74 +25,76 @@
 use crate::gateway::{AtEndpoint, Gateway};
 use crate::reply::Refusal;
 
-/// Bytes of an answer; both parts are whole events where the stream may be
-/// resumed.
+/// Bytes of an answer. If the stream may be resumed, both parts consist of complete
+/// events.
 #[derive(Debug, Default)]
-pub struct Piece {
-    /// What the caller has from an earlier attempt.
+pub struct Chunk {
+    /// Bytes that the caller has from an earlier attempt.
     pub repeated: Bytes,
-    /// What goes out.
+    /// Bytes to forward to the caller.
     pub fresh: Bytes,
 }
 
-/// A streamed answer over the runs that make it.
+/// A streamed answer and its current run.
 #[derive(Debug)]
 pub struct Runs {
     gateway: Rc<Gateway>,
     call: Rc<Call>,
     exchange: Exchange,
-    /// Set where the stream may be resumed.
+    /// Events received so far, or none if the stream may not be resumed.
     series: Option<EventSeries>,
-    /// Status and headers of the run whose events went out first.
+    /// Status and headers of the first run whose events were forwarded, or of the current
+    /// run before that.
     head: Parts,
-    /// Whether events went out, so that `head` is fixed.
-    has_begun: bool,
+    /// Whether bytes were forwarded, after which `head` no longer changes.
+    has_forwarded: bool,
     run: Run,
 }
 
-/// One endpoint's answer on its way.
+/// The answer of one endpoint while it is received.
 #[derive(Debug)]
 struct Run {
     body: Incoming,
-    /// Kept until the body was read whole.
+    /// Connection to the endpoint, until the body is complete or the run is stopped.
     connection: Option<Connection>,
     header: AnswerHeader,
     at: AtEndpoint,
     sent: Duration,
-    has_begun: bool,
+    has_received_data: bool,
 }
 
 impl Runs {
-    /// An answer whose first run has begun.
+    /// Creates an answer whose first run has started.
     pub fn new(
         gateway: &Rc<Gateway>,
         call: &Rc<Call>,
         exchange: Exchange,
         exchanged: Exchanged,
     ) -> Self {
-        let (head, run) = Run::begin(exchanged);
+        let (head, run) = Run::start(exchanged);
         Self {
             gateway: Rc::clone(gateway),
             call: Rc::clone(call),
             exchange,
-            series: series(call),
+            series: new_series(call),
             head,
-            has_begun: false,
+            has_forwarded: false,
             run,
         }
     }
 
-    /// Status and headers of the answer.
+    /// Returns the status and headers of the answer.
     pub fn head(&self) -> &Parts {
         &self.head
     }
 
-    /// The endpoint of the present run.
+    /// Returns the endpoint of the current run.
     pub fn endpoint(&self) -> &EndpointIdentity {
         &self.run.at.endpoint
     }
 
-    /// Gives the connection back after the last run's body was read whole.
+    /// Returns the connection to the pool after the body of the last run was received
+    /// completely.
     pub fn keep_connection(&mut self) {
         if let Some(connection) = self.run.connection.take() {
             let endpoint = &self.run.at.endpoint;
@@ -99,21 +102,21 @@
         }
     }
 
-    /// The next bytes; none once the answer is whole.
+    /// Returns the next bytes, or `None` once the answer is complete.
     ///
     /// # Errors
     ///
-    /// Fails when a run broke off and no other may go on.
-    pub async fn next(&mut self) -> io::Result<Option<Piece>> {
+    /// Returns an error if a run fails and the stream can't be resumed.
+    pub async fn next(&mut self) -> io::Result<Option<Chunk>> {
         loop {
-            match self.next_of_run().await {
-                Ok(piece) => return Ok(piece),
-                Err(failure) => self.go_on(failure).await?,
+            match self.next_chunk_of_run().await {
+                Ok(chunk) => return Ok(chunk),
+                Err(failure) => self.resume(failure).await?,
             }
         }
     }
 
-    async fn next_of_run(&mut self) -> Result<Option<Piece>, Failure> {
+    async fn next_chunk_of_run(&mut self) -> Result<Option<Chunk>, Failure> {
         while let Some(frame) = self.next_frame().await? {
             let Ok(bytes) = frame.into_data() else {
                 continue;
@@ -121,17 +124,18 @@
             if bytes.is_empty() {
                 continue;
             }
-            self.run.note_begun(&self.gateway);
-            let piece = match &mut self.series {
-                None => Piece::all_of(bytes),
+            self.run.record_first_byte(&self.gateway);
+            let chunk = match &mut self.series {
+                None => Chunk::without_repeated(bytes),
                 Some(series) => series.push(&bytes).map_err(|_| Failure::Broken)?.into(),
             };
-            self.has_begun |= !piece.fresh.is_empty();
-            if !piece.is_empty() {
-                return Ok(Some(piece));
+            self.has_forwarded |= !chunk.fresh.is_empty();
+            if !chunk.is_empty() {
+                return Ok(Some(chunk));
             }
         }
-        // A stream without a length that ends within an event was cut.
+        // The body has no declared length, so an end within an event means that it is
+        // incomplete.
         match &self.series {
             Some(series) if series.is_within_event() => Err(Failure::Broken),
             _ => Ok(None),
@@ -148,15 +152,19 @@
         frame.transpose().map_err(|_| Failure::Broken)
     }
 
-    /// Lets another endpoint go on after the last whole event.
-    async fn go_on(&mut self, failure: Failure) -> io::Result<()> {
-        // The endpoint stops its work when its connection closes.
+    /// Resumes the stream at another endpoint after the last complete event.
+    async fn resume(&mut self, failure: Failure) -> io::Result<()> {
+        // Closing the connection stops the work of the endpoint.
         self.run.connection = None;
         let endpoint = self.run.at.endpoint.clone();
-        self.exchange.failed(&endpoint, failure).map_err(cut)?;
+        self.exchange
+            .failed(&endpoint, failure)
+            .map_err(stream_error)?;
         let point = self.series.as_mut().map(EventSeries::discard_partial);
         match point {
-            None | Some(ResumePoint::Impossible) => return Err(cut(Refusal::OutcomeUnknown)),
+            None | Some(ResumePoint::Impossible) => {
+                return Err(stream_error(Refusal::OutcomeUnknown));
+            }
             Some(ResumePoint::FromStart) => {}
             Some(ResumePoint::After(last)) => self.exchange.go_on_after(last),
         }
@@ -167,30 +175,32 @@
             .add_notable_step(event.reason(failure.as_str()));
         self.gateway.metrics.count_resumption(failure);
         self.run = run;
-        if !self.has_begun {
+        if !self.has_forwarded {
             self.head = head;
         }
         Ok(())
     }
 
-    /// The next endpoint's stream. What an endpoint answers instead of one
-    /// cannot be passed on within the answer.
+    /// Starts a run at another endpoint. An unsuccessful answer can't be forwarded within
+    /// the stream and counts as a failure of the endpoint.
     async fn next_run(&mut self) -> io::Result<(Parts, Run)> {
         loop {
-            let exchanged = self.exchange.next().await.map_err(cut)?;
+            let exchanged = self.exchange.next().await.map_err(stream_error)?;
             if exchanged.response.status().is_success() {
-                return Ok(Run::begin(exchanged));
+                return Ok(Run::start(exchanged));
             }
             let endpoint = exchanged.at.endpoint.clone();
             drop(exchanged);
             let failure = Failure::Broken;
-            self.exchange.failed(&endpoint, failure).map_err(cut)?;
+            self.exchange
+                .failed(&endpoint, failure)
+                .map_err(stream_error)?;
         }
     }
 }
 
 impl Run {
-    fn begin(exchanged: Exchanged) -> (Parts, Self) {
+    fn start(exchanged: Exchanged) -> (Parts, Self) {
         let (head, body) = exchanged.response.into_parts();
         let run = Self {
             body,
@@ -198,17 +208,17 @@
             header: exchanged.header,
             at: exchanged.at,
             sent: exchanged.sent,
-            has_begun: false,
+            has_received_data: false,
         };
         (head, run)
     }
 
-    /// Takes note of the first bytes, whose time tells how busy the endpoint is.
-    fn note_begun(&mut self, gateway: &Gateway) {
-        if self.has_begun {
+    /// Records the latency of the first bytes, which indicates the load of the endpoint.
+    fn record_first_byte(&mut self, gateway: &Gateway) {
+        if self.has_received_data {
             return;
         }
-        self.has_begun = true;
+        self.has_received_data = true;
         let now = gateway.clock.now();
         let latency = now.saturating_sub(self.sent);
         let mut directory = gateway.directory.borrow_mut();
@@ -216,8 +226,8 @@
     }
 }
 
-impl Piece {
-    fn all_of(bytes: Bytes) -> Self {
+impl Chunk {
+    fn without_repeated(bytes: Bytes) -> Self {
         Self {
             repeated: Bytes::new(),
             fresh: bytes,
@@ -229,7 +239,7 @@
     }
 }
 
-impl From<Events> for Piece {
+impl From<Events> for Chunk {
     fn from(events: Events) -> Self {
         Self {
             repeated: Bytes::from(events.repeated),
@@ -238,8 +248,8 @@
     }
 }
 
-/// Where a stream begins that may be resumed; none where it may not.
-fn series(call: &Call) -> Option<EventSeries> {
+/// Returns the initial state of a stream that may be resumed, or `None` if it may not.
+fn new_series(call: &Call) -> Option<EventSeries> {
     let may_resume = call.route.resumes_streams();
     may_resume.then(|| match call.resumes_after() {
         Some(last) => EventSeries::after(Some(last)),
@@ -247,8 +257,8 @@
     })
 }
 
-/// How an answer ends that cannot go on.
-fn cut(refusal: Refusal) -> io::Error {
+/// Converts a refusal to the error that ends an answer.
+fn stream_error(refusal: Refusal) -> io::Error {
     let kind = match refusal {
         Refusal::DeadlineExceeded => io::ErrorKind::TimedOut,
         _ => io::ErrorKind::Other,
--- a/gateway/src/turn.rs
+++ b/gateway/src/turn.rs
@@ -1,11 +1,12 @@
-//! Streamed answers, and what of a program's turn lasts.
+//! Serves turns: requests with a streamed answer, which may belong to a program.
 //!
-//! Two things may last, each without the other: what the program spends, where
-//! the caller names a budget, and what was said, where the route keeps history.
-//! What the turn may spend is durable before its first event goes out; that
-//! commit runs while the endpoint reads the prompt. A record is durable before
-//! the end of the answer goes out; what a turn without one really spent is
-//! written afterwards.
+//! A turn may have two kinds of durable state, each independent of the other. If the
+//! caller gives a budget, the tokens that the program spends are stored in its
+//! ledger. If the route keeps history, the input and output of the turn are stored in
+//! a record. The reservation of the turn's tokens is durable before the first event
+//! is forwarded; that commit runs while the endpoint processes the prompt. The record
+//! is durable before the end of the answer is forwarded. If there is no record, the
+//! tokens that the turn spent are written after the answer has ended.
 
 use std::rc::Rc;
 
@@ -21,13 +22,13 @@
 use crate::programs;
 use crate::reply::Refusal;
 use crate::spending::Spending;
-use crate::turn_stream::{Kept, Record, pass_on};
+use crate::turn_stream::{DurableState, Record, forward_stream};
 
-/// Largest input of a turn that is kept: it becomes durable in one transaction
-/// together with its output, and one holds 1 MB of encoded rows.
+/// Maximum size of a recorded turn's input. The input is written in one transaction
+/// with the output, and a transaction holds at most 1 MB of encoded rows.
 const MAX_INPUT_BYTES: usize = 400_000;
 
-/// Answers a turn.
+/// Serves a turn and returns the response to its caller.
 pub async fn answer(gateway: &Rc<Gateway>, call: Call) -> Response<BoxBody> {
     let call = Rc::new(call);
     match run(gateway, &call).await {
@@ -38,12 +39,15 @@
 
 async fn run(gateway: &Rc<Gateway>, call: &Rc<Call>) -> Result<Response<BoxBody>, Refusal> {
     admit(gateway, call)?;
-    let history = history(gateway, call).await?;
-    let mut spending = match spender(call) {
+    let turn_record = start_record(gateway, call).await?;
+    let mut spending = match program_with_ledger(call) {
         Some(program) => Some(Spending::reserve(gateway, call, &program).await?),
         None => None,
     };
-    let (prompt, warm) = match history.as_ref().and_then(|record| record.previous.as_ref()) {
+    let (prompt, warm) = match turn_record
+        .as_ref()
+        .and_then(|record| record.previous.as_ref())
+    {
         Some(turn) => (
             Bytes::from(turn.prompt(&call.body)),
             Some(Warm {
@@ -56,23 +60,24 @@
     let mut exchange = Exchange::new(gateway, call, prompt, warm);
     let exchanged = exchange.next().await?;
     if !is_stream(&exchanged) {
-        return pass_failure(gateway, call, exchanged).await;
+        return forward_failure(gateway, call, exchanged).await;
     }
     if let Some(spending) = &mut spending {
-        // It has run by now: that the budget is spent can't be said any more.
+        // The turn has started at the endpoint, so it can no longer be refused as not run.
         let granted = spending.granted(call).await;
         granted.map_err(|_| Refusal::OutcomeUnknown)?;
     }
-    let kept = Kept {
+    let durable_state = DurableState {
         spending,
-        record: history,
+        record: turn_record,
     };
-    pass_on(gateway, call, exchange, exchanged, kept).await
+    forward_stream(gateway, call, exchange, exchanged, durable_state).await
 }
 
-/// Whether a new program may begin while engines have queues.
+/// Refuses the first turn of a program if the queues of the engines are too long.
+/// Turns of programs in progress are always admitted.
 fn admit(gateway: &Gateway, call: &Call) -> Result<(), Refusal> {
-    if !begins_program(gateway, call) {
+    if !starts_program(gateway, call) {
         return Ok(());
     }
     let admission = gateway.admission.borrow();
@@ -82,18 +87,19 @@
     retry_after.map_or(Ok(()), |retry_after| Err(Refusal::Overloaded(retry_after)))
 }
 
-/// Whether a turn begins its program, as far as this host can tell. Where no history
-/// is kept, a program counts as new that this host has not served.
-fn begins_program(gateway: &Gateway, call: &Call) -> bool {
+/// Returns whether a turn is the first of its program. If the route keeps no history,
+/// a program is considered new unless this host has its ledger in the cache.
+fn starts_program(gateway: &Gateway, call: &Call) -> bool {
     if call.route.keeps_history {
         return call.starts_program();
     }
-    let program = spender(call);
+    let program = program_with_ledger(call);
     program.is_some_and(|program| !gateway.commits.knows(&program.program))
 }
 
-/// The beginning of the turn's record, where the route keeps history.
-async fn history(gateway: &Rc<Gateway>, call: &Call) -> Result<Option<Record>, Refusal> {
+/// Returns the turn's record, still without output, or `None` if the route keeps no
+/// history.
+async fn start_record(gateway: &Rc<Gateway>, call: &Call) -> Result<Option<Record>, Refusal> {
     let Some(program) = call.program().filter(|_| call.route.keeps_history) else {
         return Ok(None);
     };
@@ -109,19 +115,21 @@
     }))
 }
 
-/// The program whose ledger the turn needs: it has a budget, or a record, which
-/// lasts as long as the ledger.
-fn spender(call: &Call) -> Option<ProgramHeader> {
+/// Returns the turn's program if the turn needs the program's ledger. That is the case
+/// if the program has a budget, or if the turn has a record, because records are
+/// deleted together with the ledger.
+fn program_with_ledger(call: &Call) -> Option<ProgramHeader> {
     let program = call.program()?;
-    let is_counted = program.budget_tokens.is_some() || call.route.keeps_history;
-    is_counted.then_some(program)
+    let needs_ledger = program.budget_tokens.is_some() || call.route.keeps_history;
+    needs_ledger.then_some(program)
 }
 
 fn is_stream(exchanged: &Exchanged) -> bool {
     exchanged.response.status().is_success()
 }
 
-async fn pass_failure(
+/// Forwards an unsuccessful answer of an endpoint, which is not streamed.
+async fn forward_failure(
     gateway: &Rc<Gateway>,
     call: &Call,
     exchanged: Exchanged,
--- a/gateway/src/turn_stream.rs
+++ b/gateway/src/turn_stream.rs
@@ -1,4 +1,5 @@
-//! A turn's answer on its way from the endpoint to the caller.
+//! Forwards the streamed answer of a turn from the endpoint to the caller, counts its
+//! tokens and stores its record.
 
 use std::io;
 use std::rc::Rc;
@@ -22,37 +23,38 @@
 use crate::metrics::Timing;
 use crate::recent_history;
 use crate::reply::{self, Refusal};
-use crate::runs::{Piece, Runs};
+use crate::runs::{Chunk, Runs};
 use crate::spending::Spending;
 
-/// How long a ledger without a record is kept at least after its last turn, where
-/// the route says less: a program that pauses must not find its budget anew. The
-/// longest programs of the known sites take 16 s, the longest retention is 60 s.
-const LEDGER_RETENTION: Duration = Duration::from_secs(60);
+/// Minimum time for which a ledger without records is kept after the last turn of its
+/// program. If the ledger were deleted while the program pauses, the program would
+/// start again with its full budget. The longest programs of the known deployments
+/// take 16 s, and the longest retention of a route is 60 s.
+const MIN_LEDGER_RETENTION: Duration = Duration::from_secs(60);
 
-/// What a turn's record will hold.
+/// The contents of a turn's record, collected while the turn is served.
 #[derive(Debug)]
 pub struct Record {
-    /// The program.
+    /// Program of the turn.
     pub program: ProgramHeader,
-    /// The turn that it continues from.
+    /// Turn that this turn continues, or none if it is the first.
     pub previous: Option<Arc<Turn>>,
-    /// Data of the events, each with a line feed.
+    /// Data of the events, each followed by a line feed.
     pub output: Vec<u8>,
 }
 
-/// What of a turn lasts.
+/// The parts of a turn that become durable.
 #[derive(Debug, Default)]
-pub struct Kept {
-    /// What it spends, where its program has a ledger.
+pub struct DurableState {
+    /// Reservation and spent tokens, or none if the turn needs no ledger.
     pub spending: Option<Spending>,
-    /// What is said, where the route keeps it; a program with a record has a
-    /// ledger, too.
+    /// Record of the turn, or none if the route keeps no history. A turn with a record
+    /// always has `spending`, too.
     pub record: Option<Record>,
 }
 
-impl Kept {
-    fn record(&mut self, event: &SseEvent) {
+impl DurableState {
+    fn record_event(&mut self, event: &SseEvent) {
         if let Some(record) = &mut self.record {
             record.output.extend_from_slice(&event.data);
             record.output.push(b'\n');
@@ -60,48 +62,50 @@
     }
 }
 
-/// A stream on its way from an endpoint to a caller. Dropping it closes the
-/// endpoint's connection, which stops the work.
+/// A stream that is forwarded from an endpoint to a caller. Dropping it closes the
+/// connection to the endpoint, which then stops its work.
 struct TurnStream {
     gateway: Rc<Gateway>,
     call: Rc<Call>,
     runs: Runs,
     events: SseReader,
-    has_begun: bool,
-    /// From the request's arrival to its first event.
+    has_started: bool,
+    /// Time from the request's arrival to its first event.
     first_event: Duration,
-    kept: Kept,
-    _open: OpenRequest,
+    durable_state: DurableState,
+    _open_request: OpenRequest,
 }
 
-/// Passes a stream on, from its first bytes: one that breaks off before them
-/// is answered as a failure instead of by a connection that ends.
+/// Forwards a stream. The response starts only after the first bytes have arrived, so
+/// that a stream which fails before them results in a problem document and not in a
+/// closed connection.
 ///
 /// # Errors
 ///
-/// Says how it failed before its first bytes.
-pub async fn pass_on(
+/// Returns the reason if the stream fails before its first bytes.
+pub async fn forward_stream(
     gateway: &Rc<Gateway>,
     call: &Rc<Call>,
     exchange: Exchange,
     exchanged: Exchanged,
-    kept: Kept,
+    durable_state: DurableState,
 ) -> Result<Response<BoxBody>, Refusal> {
     let mut stream = TurnStream {
         gateway: Rc::clone(gateway),
         call: Rc::clone(call),
         runs: Runs::new(gateway, call, exchange, exchanged),
         events: SseReader::default(),
-        has_begun: false,
+        has_started: false,
         first_event: Duration::ZERO,
-        kept,
-        _open: gateway.open_request(),
+        durable_state,
+        _open_request: gateway.open_request(),
     };
     let first = stream.next().await.map_err(|error| match error.kind() {
         io::ErrorKind::TimedOut => Refusal::DeadlineExceeded,
         _ => Refusal::OutcomeUnknown,
     })?;
-    // That of the run whose events go out first, also if others follow.
+    // The head is that of the first run whose events are forwarded, even if the stream is
+    // resumed at another endpoint later.
     let head = stream.runs.head();
     let status = head.status.as_u16();
     let headers = headers::for_caller(&head.headers);
@@ -113,45 +117,47 @@
             Err(error) => Some((Err(error), None)),
         }
     });
-    let pieces = futures_util::stream::iter(first.map(Ok)).chain(rest);
-    Ok(reply::stream_response(status, &headers, pieces))
+    let chunks = futures_util::stream::iter(first.map(Ok)).chain(rest);
+    Ok(reply::stream_response(status, &headers, chunks))
 }
 
 impl TurnStream {
-    /// The next bytes for the caller; none once the answer is whole and its
-    /// turn durable.
+    /// Returns the next bytes for the caller, or `None` once the answer is complete and
+    /// its turn is durable.
     async fn next(&mut self) -> io::Result<Option<Bytes>> {
-        let until = self.gateway.clock.instant(self.call.deadline);
-        let next = tokio::time::timeout_at(until, self.next_piece()).await;
+        let deadline = self.gateway.clock.instant(self.call.deadline);
+        let next = tokio::time::timeout_at(deadline, self.next_chunk()).await;
         let next = next.unwrap_or_else(|_| Err(io::ErrorKind::TimedOut.into()));
         if let Err(error) = &next {
-            self.cut(error);
+            self.record_failure(error);
         }
         next
     }
 
-    /// Writes how the answer broke off.
-    fn cut(&self, error: &io::Error) {
+    /// Records the error that ended the answer.
+    fn record_failure(&self, error: &io::Error) {
         self.call
             .request_log
             .add_notable_step(Event::new(EventKind::AnswerBroken).error(error));
         self.gateway
             .metrics
             .count_request(self.call.route.kind, "cut");
-        if self.has_begun {
+        if self.has_started {
             let elapsed = self.call.elapsed(self.gateway.clock.now());
             let status = self.runs.head().status.as_u16();
             self.call.request_log.record_ended("cut", status, elapsed);
         }
     }
 
-    async fn next_piece(&mut self) -> io::Result<Option<Bytes>> {
-        while let Some(piece) = self.runs.next().await? {
-            let bytes = self.pass(piece);
-            if let Some(spending) = &mut self.kept.spending
+    async fn next_chunk(&mut self) -> io::Result<Option<Bytes>> {
+        while let Some(chunk) = self.runs.next().await? {
+            let bytes = self.process(chunk);
+            if let Some(spending) = &mut self.durable_state.spending
                 && !spending.cover().await
             {
-                return Err(io::Error::other("the program's escrow is spent"));
+                return Err(io::Error::other(
+                    "the turn's escrow grant could not be extended",
+                ));
             }
             if !bytes.is_empty() {
                 return Ok(Some(bytes));
@@ -161,47 +167,47 @@
         Ok(None)
     }
 
-    /// Takes note of bytes that are about to go out.
-    fn pass(&mut self, piece: Piece) -> Bytes {
-        // What the caller has from an earlier attempt was counted there; it is
-        // part of the turn and not handed out again.
-        for event in self.events.push(&piece.repeated) {
-            self.kept.record(&event);
+    /// Counts and records the events of a chunk, and returns the bytes to forward.
+    fn process(&mut self, chunk: Chunk) -> Bytes {
+        // Events that the caller has from an earlier attempt belong to the turn's record.
+        // They are not forwarded again, and were counted in that attempt.
+        for event in self.events.push(&chunk.repeated) {
+            self.durable_state.record_event(&event);
         }
-        if piece.fresh.is_empty() {
-            return piece.fresh;
+        if chunk.fresh.is_empty() {
+            return chunk.fresh;
         }
-        if !self.has_begun {
-            self.has_begun = true;
+        if !self.has_started {
+            self.has_started = true;
             self.first_event = self.call.elapsed(self.gateway.clock.now());
             self.gateway
                 .metrics
                 .observe(Timing::FirstEvent, self.first_event);
         }
-        for event in self.events.push(&piece.fresh) {
-            if let Some(spending) = &mut self.kept.spending {
+        for event in self.events.push(&chunk.fresh) {
+            if let Some(spending) = &mut self.durable_state.spending {
                 spending.count_event();
             }
-            self.kept.record(&event);
+            self.durable_state.record_event(&event);
         }
-        piece.fresh
+        chunk.fresh
     }
 
-    /// Makes the turn durable and gives the connection back.
+    /// Makes the turn durable and returns the connection to the pool.
     async fn finish(&mut self) -> io::Result<()> {
         self.runs.keep_connection();
-        let kept = std::mem::take(&mut self.kept);
-        match (kept.spending, kept.record) {
-            (Some(spending), Some(record)) => self.record(spending, record).await?,
-            (Some(mut spending), None) => self.settle(&mut spending),
+        let durable_state = std::mem::take(&mut self.durable_state);
+        match (durable_state.spending, durable_state.record) {
+            (Some(spending), Some(record)) => self.commit_record(spending, record).await?,
+            (Some(mut spending), None) => self.settle_in_background(&mut spending),
             (None, _) => {}
         }
-        self.served();
+        self.record_completion();
         Ok(())
     }
 
-    /// Writes the one line of a turn that ended well, or all of a late one.
-    fn served(&self) {
+    /// Records the completion of the turn in the metrics and in its request log.
+    fn record_completion(&self) {
         let elapsed = self.call.elapsed(self.gateway.clock.now());
         let in_time = self.first_event <= self.call.route.objective;
         self.gateway.metrics.observe(Timing::Turn, elapsed);
@@ -221,46 +227,52 @@
         );
     }
 
-    async fn record(&self, mut spending: Spending, record: Record) -> io::Result<()> {
+    /// Commits the turn's record together with the tokens that it spent, and waits until
+    /// both are durable.
+    async fn commit_record(&self, mut spending: Spending, record: Record) -> io::Result<()> {
         let ended = self.gateway.clock.now();
-        let turn = Arc::new(self.turn(record, spending.tokens()));
-        // The limit is one of encoded bytes, of which four stand for three.
+        let turn = Arc::new(self.build_turn(record, spending.tokens()));
+        // The limit applies to encoded rows, where four bytes represent three.
         let rows = turn.rows(self.gateway.settings().store.row_bytes / 4 * 3);
         let row_ids: Vec<RowId> = rows.iter().map(|write| write.row.clone()).collect();
         match spending.settle(rows).await {
             Ok(Outcome::Unreadable) => {
                 let event = Event::new(EventKind::RecordUnreadable);
                 log_event(&event.program_key(&turn.program));
-                Err(io::Error::other("the program's ledger cannot be read"))
+                Err(io::Error::other(
+                    "the program's ledger could not be decoded",
+                ))
             }
             Ok(Outcome::Durable | Outcome::Exhausted) => {
-                self.keep(&turn.program, row_ids, self.call.route.retention);
-                let took = self.gateway.clock.now().saturating_sub(ended);
-                self.gateway.metrics.observe(Timing::Record, took);
+                self.schedule_deletion(&turn.program, row_ids, self.call.route.retention);
+                let commit_time = self.gateway.clock.now().saturating_sub(ended);
+                self.gateway.metrics.observe(Timing::Record, commit_time);
                 let event = Event::new(EventKind::TurnRecorded).tokens(spending.tokens());
-                self.call.request_log.add_step(event.elapsed(took));
+                self.call.request_log.add_step(event.elapsed(commit_time));
                 self.gateway.history.borrow_mut().insert(Arc::clone(&turn));
                 recent_history::keep(&self.gateway, turn);
                 Ok(())
             }
-            Err(_) => Err(io::Error::other("the process stops")),
+            Err(_) => Err(io::Error::other(
+                "the process stopped before the turn's record was durable",
+            )),
         }
     }
 
-    /// Has written what the turn spent. Nobody waits for it: until it is
-    /// durable, the turn counts at its most.
-    fn settle(&self, spending: &mut Spending) {
+    /// Submits the tokens that the turn spent, without waiting until they are durable.
+    /// Until then, the turn's maximum output tokens count as spent.
+    fn settle_in_background(&self, spending: &mut Spending) {
         spending.settle_later();
         if let Some(program) = self.call.program() {
-            let retention = self.call.route.retention.max(LEDGER_RETENTION);
-            self.keep(&program.program, Vec::new(), retention);
+            let retention = self.call.route.retention.max(MIN_LEDGER_RETENTION);
+            self.schedule_deletion(&program.program, Vec::new(), retention);
         }
     }
 
-    /// The turn as it is kept. One that continues from another program's turn
-    /// has a copy of all that was said there, so that each program's rows may
-    /// be deleted when that program is over.
-    fn turn(&self, record: Record, tokens: u64) -> Turn {
+    /// Builds the turn as it is stored. A turn that continues another program's turn
+    /// contains a copy of the whole history before it, so that each program's rows can be
+    /// deleted independently once that program has ended.
+    fn build_turn(&self, record: Record, tokens: u64) -> Turn {
         let program = record.program.program;
         let prompt_tokens = self
             .call
@@ -282,8 +294,8 @@
         }
     }
 
-    /// Takes note of the turn's rows, to delete them with the ledger one day.
-    fn keep(&self, program: &str, rows: Vec<RowId>, retention: Duration) {
+    /// Schedules the deletion of the turn's rows together with the program's ledger.
+    fn schedule_deletion(&self, program: &str, rows: Vec<RowId>, retention: Duration) {
         let version = self.gateway.commits.version(program);
         let retention = retention + self.gateway.settings().retention_margin;
         let now = self.gateway.clock.now();
