--- a/gateway/src/limits.rs
+++ b/gateway/src/limits.rs
@@ -37,7 +37,7 @@
 const RETRANSMIT_INTERVAL: Duration = Duration::from_millis(21);
 /// Minimum retry time after the allocator did not respond.
 const MIN_RETRY_AFTER: Duration = Duration::from_millis(200);
-/// Interval at which requests and reports to allocators are checked and sent if due.
+/// Interval at which due requests and reports are sent to allocators.
 const REPORT_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Messages that gateways exchange to enforce rate limits.
--- a/gateway/src/runs.rs
+++ b/gateway/src/runs.rs
@@ -134,8 +134,7 @@
                 return Ok(Some(chunk));
             }
         }
-        // The body has no declared length, so an end within an event means that it is
-        // incomplete.
+        // A body without a declared length is incomplete if it ends within an event.
         match &self.series {
             Some(series) if series.is_within_event() => Err(Failure::Broken),
             _ => Ok(None),
@@ -157,14 +156,10 @@
         // Closing the connection stops the work of the endpoint.
         self.run.connection = None;
         let endpoint = self.run.at.endpoint.clone();
-        self.exchange
-            .failed(&endpoint, failure)
-            .map_err(stream_error)?;
+        self.exchange.failed(&endpoint, failure).map_err(io_error)?;
         let point = self.series.as_mut().map(EventSeries::discard_partial);
         match point {
-            None | Some(ResumePoint::Impossible) => {
-                return Err(stream_error(Refusal::OutcomeUnknown));
-            }
+            None | Some(ResumePoint::Impossible) => return Err(io_error(Refusal::OutcomeUnknown)),
             Some(ResumePoint::FromStart) => {}
             Some(ResumePoint::After(last)) => self.exchange.go_on_after(last),
         }
@@ -185,16 +180,14 @@
     /// the stream and counts as a failure of the endpoint.
     async fn next_run(&mut self) -> io::Result<(Parts, Run)> {
         loop {
-            let exchanged = self.exchange.next().await.map_err(stream_error)?;
+            let exchanged = self.exchange.next().await.map_err(io_error)?;
             if exchanged.response.status().is_success() {
                 return Ok(Run::start(exchanged));
             }
             let endpoint = exchanged.at.endpoint.clone();
             drop(exchanged);
             let failure = Failure::Broken;
-            self.exchange
-                .failed(&endpoint, failure)
-                .map_err(stream_error)?;
+            self.exchange.failed(&endpoint, failure).map_err(io_error)?;
         }
     }
 }
@@ -258,7 +251,7 @@
 }
 
 /// Converts a refusal to the error that ends an answer.
-fn stream_error(refusal: Refusal) -> io::Error {
+fn io_error(refusal: Refusal) -> io::Error {
     let kind = match refusal {
         Refusal::DeadlineExceeded => io::ErrorKind::TimedOut,
         _ => io::ErrorKind::Other,
--- a/gateway/src/turn_stream.rs
+++ b/gateway/src/turn_stream.rs
@@ -125,8 +125,8 @@
     /// Returns the next bytes for the caller, or `None` once the answer is complete and
     /// its turn is durable.
     async fn next(&mut self) -> io::Result<Option<Bytes>> {
-        let deadline = self.gateway.clock.instant(self.call.deadline);
-        let next = tokio::time::timeout_at(deadline, self.next_chunk()).await;
+        let deadline_instant = self.gateway.clock.instant(self.call.deadline);
+        let next = tokio::time::timeout_at(deadline_instant, self.next_chunk()).await;
         let next = next.unwrap_or_else(|_| Err(io::ErrorKind::TimedOut.into()));
         if let Err(error) = &next {
             self.record_failure(error);
