--- a/gateway/tests/customers.rs
+++ b/gateway/tests/customers.rs
@@ -1,5 +1,5 @@
-//! Customers and their keys: whose requests run, under which name, and what one
-//! customer can reach of another's.
+//! Identification of customers by their keys, and isolation of customers from each
+//! other.
 
 mod support;
 
@@ -11,7 +11,7 @@
 
 const MODELS: usize = 0;
 const DESK: usize = 1;
-/// Keys of the two customers that tests declare.
+/// Keys of the two customers that the tests declare.
 const SHIP_KEY: &str = "ship-key-000001";
 const CREW_KEY: &str = "crew-key-000001";
 
@@ -68,7 +68,7 @@
 }
 
 #[actix_rt::test]
-async fn an_endpoint_gets_the_customers_name_and_not_its_key() {
+async fn an_endpoint_receives_the_customers_name_and_not_its_key() {
     let (site, gateway) = start().await;
     let forged = Ask::lookup("a1").key(SHIP_KEY).header("tenant", "crew");
     assert_eq!(forged.send(gateway.front).await.status, 200);
@@ -83,7 +83,7 @@
 }
 
 #[actix_rt::test]
-async fn a_further_attempt_bears_the_customers_name_as_well() {
+async fn a_retry_at_another_endpoint_carries_the_customers_name() {
     let mut site = Site::without_routes();
     let other = site.add_endpoint("desk");
     declare(&site, &two_customers(1));
@@ -135,14 +135,14 @@
             "unknown-key",
         ),
     ];
-    for (ask, word) in table {
+    for (ask, expected_reason) in table {
         let answer = ask.send(gateway.front).await;
-        if word.is_empty() {
+        if expected_reason.is_empty() {
             assert_eq!(answer.status, 200, "{ask:?}");
             continue;
         }
         assert_eq!(answer.status, 401, "{ask:?}");
-        assert_eq!(reason(&answer), word, "{ask:?}");
+        assert_eq!(reason(&answer), expected_reason, "{ask:?}");
         assert_eq!(answer.header("www-authenticate"), Some("Bearer"));
     }
     for attempt in ["a1", "a2", "a3", "a4", "a5", "a6", "a7", "t1"] {
@@ -151,7 +151,7 @@
 }
 
 #[actix_rt::test]
-async fn a_public_route_takes_callers_without_a_key() {
+async fn a_public_route_accepts_callers_without_a_key() {
     let (site, gateway) = start().await;
     let ask = Ask::new(Method::POST, "/unkept/stream/x")
         .attempt("a1")
@@ -166,7 +166,7 @@
 }
 
 #[actix_rt::test]
-async fn where_no_customers_are_declared_no_key_is_wanted() {
+async fn no_key_is_required_if_no_customers_are_declared() {
     let (site, gateway) = Site::start_with_gateway().await;
     let ask = Ask::lookup("a1").key("of-the-endpoint");
     assert_eq!(ask.send(gateway.front).await.status, 200);
@@ -175,26 +175,26 @@
 }
 
 #[actix_rt::test]
-async fn keys_that_are_taken_away_or_moved_hold_no_longer() {
+async fn keys_that_are_removed_or_reassigned_lose_their_former_effect() {
     let (site, gateway) = start().await;
-    assert_eq!(ask_with(&gateway, "a1", SHIP_KEY).await.status, 200);
+    assert_eq!(lookup_with_key(&gateway, "a1", SHIP_KEY).await.status, 200);
     let moved = [customer("ship", &[]), customer("crew", &[SHIP_KEY])];
     declare(&site, &with_customers(2, &moved));
     until_version(&gateway, 2).await;
-    assert_eq!(ask_with(&gateway, "a2", SHIP_KEY).await.status, 200);
+    assert_eq!(lookup_with_key(&gateway, "a2", SHIP_KEY).await.status, 200);
     assert_eq!(site.runs(DESK).await["a2"].headers["tenant"], "crew");
-    assert_eq!(ask_with(&gateway, "a3", CREW_KEY).await.status, 401);
+    assert_eq!(lookup_with_key(&gateway, "a3", CREW_KEY).await.status, 401);
     declare(&site, &with_customers(3, &[]));
     until_version(&gateway, 3).await;
-    assert_eq!(ask_with(&gateway, "a4", SHIP_KEY).await.status, 401);
+    assert_eq!(lookup_with_key(&gateway, "a4", SHIP_KEY).await.status, 401);
 }
 
-async fn ask_with(gateway: &Gateway, attempt: &str, key: &str) -> Answer {
+async fn lookup_with_key(gateway: &Gateway, attempt: &str, key: &str) -> Answer {
     Ask::lookup(attempt).key(key).send(gateway.front).await
 }
 
 #[actix_rt::test]
-async fn an_entry_that_cannot_be_used_costs_its_customer_alone() {
+async fn an_unusable_entry_affects_only_its_customer() {
     let site = Site::without_routes();
     let mut broken = customer("ship", &[SHIP_KEY]);
     broken["rate-per-s"] = json!("many");
@@ -206,36 +206,42 @@
     ];
     declare(&site, &with_customers(1, &customers));
     let gateway = site.ready_gateway().await;
-    assert_eq!(ask_with(&gateway, "a1", CREW_KEY).await.status, 200);
-    assert_eq!(ask_with(&gateway, "a2", "cook-key").await.status, 200);
+    assert_eq!(lookup_with_key(&gateway, "a1", CREW_KEY).await.status, 200);
+    assert_eq!(
+        lookup_with_key(&gateway, "a2", "cook-key").await.status,
+        200
+    );
     for (attempt, key) in [("a3", SHIP_KEY), ("a4", "shared-key")] {
-        let answer = ask_with(&gateway, attempt, key).await;
+        let answer = lookup_with_key(&gateway, attempt, key).await;
         assert_eq!(answer.status, 503);
         assert_eq!(reason(&answer), "key-unusable");
     }
-    assert_eq!(ask_with(&gateway, "a5", "nobodys-key").await.status, 401);
+    assert_eq!(
+        lookup_with_key(&gateway, "a5", "nobodys-key").await.status,
+        401
+    );
     assert_eq!(gateway.events("customer-unusable").len(), 2);
 }
 
 #[actix_rt::test]
-async fn a_host_that_hears_nothing_of_the_store_denies_no_key() {
+async fn unknown_keys_are_not_rejected_while_the_store_does_not_respond() {
     let (site, gateway) = start().await;
-    assert_eq!(ask_with(&gateway, "a1", "new-key").await.status, 401);
-    let silent = StoreFaults {
+    assert_eq!(lookup_with_key(&gateway, "a1", "new-key").await.status, 401);
+    let unresponsive = StoreFaults {
         silent: true,
         ..StoreFaults::default()
     };
-    site.faults(&silent).await;
-    until("the host doubts its routes", async || {
-        ask_with(&gateway, "a2", "new-key").await.status == 503
+    site.faults(&unresponsive).await;
+    until("the host has unconfirmed routes", async || {
+        lookup_with_key(&gateway, "a2", "new-key").await.status == 503
     })
     .await;
-    // What it knows goes on, as the operators' setting has it.
-    assert_eq!(ask_with(&gateway, "a3", SHIP_KEY).await.status, 200);
+    // Known keys are still accepted, because the setting strict_keys is off.
+    assert_eq!(lookup_with_key(&gateway, "a3", SHIP_KEY).await.status, 200);
 }
 
 #[actix_rt::test]
-async fn a_host_with_strict_keys_serves_none_that_it_cannot_confirm() {
+async fn a_host_with_strict_keys_accepts_no_unconfirmed_key() {
     let site = Site::without_routes();
     declare(&site, &two_customers(1));
     let gateway = Gateway::start_with_customers(
@@ -243,38 +249,38 @@
         "strict_keys = yes\nkeys_confirmed_within_ms = 2000\n",
     );
     gateway.until_ready().await;
-    assert_eq!(ask_with(&gateway, "a1", SHIP_KEY).await.status, 200);
-    let silent = StoreFaults {
+    assert_eq!(lookup_with_key(&gateway, "a1", SHIP_KEY).await.status, 200);
+    let unresponsive = StoreFaults {
         silent: true,
         ..StoreFaults::default()
     };
-    site.faults(&silent).await;
+    site.faults(&unresponsive).await;
     until("the host refuses keys", async || {
-        let answer = ask_with(&gateway, "a2", SHIP_KEY).await;
+        let answer = lookup_with_key(&gateway, "a2", SHIP_KEY).await;
         answer.status == 503 && reason(&answer) == "keys-unconfirmed"
     })
     .await;
     site.faults(&StoreFaults::default()).await;
-    until("the host takes keys again", async || {
-        ask_with(&gateway, "a3", SHIP_KEY).await.status == 200
+    until("the host accepts keys again", async || {
+        lookup_with_key(&gateway, "a3", SHIP_KEY).await.status == 200
     })
     .await;
 }
 
 #[actix_rt::test]
-async fn a_turn_of_another_customer_is_none() {
+async fn a_turn_of_another_customer_is_not_found() {
     let (site, gateway) = start().await;
     let first = Ask::turn("t1", "p1", "first|").key(SHIP_KEY);
     assert_eq!(first.send(gateway.front).await.status, 200);
     let other = site.ready_gateway().await;
     for (number, front) in [gateway.front, other.front].into_iter().enumerate() {
         let attempt = format!("u{number}");
-        let stolen = Ask::turn(&attempt, "p1", "x").previous("t1").key(CREW_KEY);
-        let stolen = stolen.send(front).await;
-        let never = Ask::turn(&attempt, "p1", "x").previous("t9").key(CREW_KEY);
-        let never = never.send(front).await;
-        assert_eq!((stolen.status, never.status), (404, 404));
-        assert_eq!(stolen.body, never.body);
+        let foreign = Ask::turn(&attempt, "p1", "x").previous("t1").key(CREW_KEY);
+        let foreign = foreign.send(front).await;
+        let missing = Ask::turn(&attempt, "p1", "x").previous("t9").key(CREW_KEY);
+        let missing = missing.send(front).await;
+        assert_eq!((foreign.status, missing.status), (404, 404));
+        assert_eq!(foreign.body, missing.body);
         assert_eq!(site.times_run(&attempt).await, 0);
     }
     let next = Ask::turn("t2", "p1", "second|")
@@ -289,7 +295,7 @@
     for (key, input) in [(SHIP_KEY, "ship|"), (CREW_KEY, "crew|")] {
         let turn = Ask::turn("t1", "p1", input).key(key);
         let turn = turn.header("token-budget", "100");
-        // Each has a budget of its own, which holds one turn.
+        // Each customer's program has its own budget, which suffices for one turn.
         assert_eq!(turn.send(gateway.front).await.status, 200);
     }
     let other = site.ready_gateway().await;
@@ -306,7 +312,7 @@
 }
 
 #[actix_rt::test]
-async fn turns_of_a_time_without_customers_are_no_customers() {
+async fn turns_from_before_customers_were_declared_belong_to_no_customer() {
     let site = Site::start();
     let gateway = site.ready_gateway().await;
     let first = Ask::turn("t1", "p1", "first|");
@@ -318,7 +324,7 @@
 }
 
 #[actix_rt::test]
-async fn no_key_is_ever_written_or_told() {
+async fn no_key_appears_in_responses_metrics_or_logs() {
     let (site, gateway) = start().await;
     let mut broken = customer("ship", &[]);
     broken["api-keys"] = json!(SHIP_KEY);
@@ -327,13 +333,15 @@
         &with_customers(2, &[broken, customer("crew", &[CREW_KEY])]),
     );
     until_version(&gateway, 2).await;
-    let mut told = String::new();
+    let mut output = String::new();
     for (number, key) in [SHIP_KEY, CREW_KEY, "a-strangers-key"].iter().enumerate() {
-        told += &ask_with(&gateway, &format!("a{number}"), key).await.body;
+        output += &lookup_with_key(&gateway, &format!("a{number}"), key)
+            .await
+            .body;
     }
-    told += &Ask::get("/metrics").send(gateway.metrics).await.body;
-    told += &gateway.log().concat();
+    output += &Ask::get("/metrics").send(gateway.metrics).await.body;
+    output += &gateway.log().concat();
     for key in [SHIP_KEY, CREW_KEY, "a-strangers-key"] {
-        assert!(!told.contains(key));
+        assert!(!output.contains(key));
     }
 }
--- a/gateway/tests/explain.rs
+++ b/gateway/tests/explain.rs
@@ -1,4 +1,5 @@
-//! Six kinds of failed request, each explained from the logs alone.
+//! The `explain` command's account of failed requests, reconstructed from the logs
+//! alone.
 
 mod support;
 
@@ -12,8 +13,8 @@
 const MODELS: usize = 0;
 const DESK: usize = 1;
 
-/// Members whose values differ from run to run.
-const VARYING: [&str; 7] = [
+/// Prefixes of the fields whose values vary between test runs.
+const VARYING_FIELDS: [&str; 7] = [
     "peer=",
     "elapsed_ms=",
     "age_ms=",
@@ -23,8 +24,8 @@
     "count=",
 ];
 
-/// The story of an attempt without what differs from run to run: times, and
-/// the number in a host's name.
+/// Returns the account of an attempt from the gateway's log, without times and other
+/// values that vary between test runs, and without the number in the host's name.
 async fn story(gateway: &Gateway, attempt: &str) -> String {
     until("the request's end is in the log", async || {
         let log = gateway.log();
@@ -34,56 +35,57 @@
     .await;
     let log = gateway.log();
     let text = Story::tell(attempt, log.iter().map(String::as_str)).text();
-    // What a host learns at its start comes in any order.
+    // The events of a host's start are logged in no fixed order.
     let is_start = |line: &&str| {
-        let learned = [
+        let start_events = [
             "process-started",
             "endpoint-listed",
             "routes-in-force",
             "reason=ready",
         ];
-        learned.iter().any(|name| line.contains(name))
+        start_events.iter().any(|name| line.contains(name))
     };
     let kept = text.lines().filter(|line| !is_start(line)).map(|line| {
         let words = line.split_whitespace().skip(2);
-        let words = words.filter(|word| !VARYING.iter().any(|name| word.starts_with(name)));
+        let words = words.filter(|word| !VARYING_FIELDS.iter().any(|name| word.starts_with(name)));
         let words = words.map(|word| match word.starts_with("gateway-") {
             true => "gateway".to_owned(),
-            false => without_runs(word),
+            false => without_process_ids(word),
         });
         words.collect::<Vec<_>>().join(" ")
     });
     kept.collect::<Vec<_>>().join("\n")
 }
 
-/// The word with what each holder said or has, without the holder's name.
-fn without_runs(word: &str) -> String {
+/// Replaces the process id of each holder in a `holders=` field by a fixed one. Other
+/// words are returned unchanged.
+fn without_process_ids(word: &str) -> String {
     let Some(holders) = word.strip_prefix("holders=") else {
         return word.to_owned();
     };
     let holders = holders.trim_matches('"').split(',');
-    let said = holders.filter_map(|holder| holder.rsplit_once(':'));
-    let said = said.map(|(_, said)| format!("HOST/RUN:{said}"));
-    format!("holders={}", said.collect::<Vec<_>>().join(","))
+    let replies = holders.filter_map(|holder| holder.rsplit_once(':'));
+    let replies = replies.map(|(_, reply)| format!("HOST/RUN:{reply}"));
+    format!("holders={}", replies.collect::<Vec<_>>().join(","))
 }
 
 #[actix_rt::test]
 async fn a_turn_refused_while_the_store_turned_its_host_away() {
     let site = Site::start();
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
-    let other_door = site.store.open_door(listener).unwrap();
-    // It knows no peer that would pass its calls on.
+    let other_server = site.store.open_door(listener).unwrap();
+    // This gateway has no peer that could forward its calls to the store.
     let turned_away = site.ready_gateway().await;
     site.faults(&StoreFaults::refusing()).await;
-    until("the host says that it is not ready", async || {
+    until("the host reports that it is not ready", async || {
         let changes = turned_away.events("ready-changed");
         changes
             .iter()
             .any(|event| event["reason"] == "store-unreachable")
     })
     .await;
-    let served = Gateway::start(other_door.address());
-    served.until_ready().await;
+    let accepted_gateway = Gateway::start(other_server.address());
+    accepted_gateway.until_ready().await;
     let answer = Ask::turn("t1", "p1", "x").send(turned_away.front).await;
     assert_eq!(answer.status, 503);
     insta::assert_snapshot!(story(&turned_away, "t1").await);
@@ -99,12 +101,13 @@
     site.endpoint_faults(DESK, &faults).await;
     let ask = Ask::new(http::Method::POST, "/fee/receipt").attempt("a1");
     assert_eq!(ask.body("fee 12").send(gateway.front).await.status, 502);
-    // That the endpoint is avoided falls between two steps or beside them, in
-    // the same millisecond or the next.
+    // The event that the endpoint is avoided may be logged between two steps or next to
+    // them, because they occur within the same millisecond or two.
     let story = story(&gateway, "a1").await;
     let avoided = "gateway - endpoint-avoided endpoint=i-desk-1 reason=broken";
-    let (about, steps): (Vec<&str>, Vec<&str>) = story.lines().partition(|line| *line == avoided);
-    assert_eq!(about, [avoided]);
+    let (avoidances, steps): (Vec<&str>, Vec<&str>) =
+        story.lines().partition(|line| *line == avoided);
+    assert_eq!(avoidances, [avoided]);
     insta::assert_snapshot!(steps.join("\n"));
 }
 
@@ -123,7 +126,7 @@
 }
 
 #[actix_rt::test]
-async fn a_host_that_was_killed_leaves_no_end_and_the_story_says_so() {
+async fn a_missing_end_of_a_request_is_reported_after_its_host_was_killed() {
     let site = Site::start();
     let mut gateway = site.ready_gateway().await;
     Ask::turn("t1", "p1", "x").send(gateway.front).await;
@@ -141,7 +144,7 @@
 }
 
 #[actix_rt::test]
-async fn an_answer_that_the_store_loses_is_no_loss_of_the_store() {
+async fn a_lost_response_does_not_count_as_an_outage_of_the_store() {
     let (site, gateway) = Site::start_with_gateway().await;
     for number in 0..8 {
         let lost = StoreFaults {
@@ -158,12 +161,12 @@
 
     site.faults(&StoreFaults::refusing()).await;
     gateway.until_unready().await;
-    until("the loss is told", async || {
+    until("the outage is logged", async || {
         gateway.events("store-lost").len() == 1
     })
     .await;
     site.faults(&StoreFaults::default()).await;
-    until("the return is told", async || {
+    until("the end of the outage is logged", async || {
         gateway.events("store-regained").len() == 1
     })
     .await;
@@ -193,21 +196,21 @@
     site.endpoint_faults(MODELS, &paced).await;
     let turn = |attempt: &str| Ask::turn(attempt, "p1", "x").header("token-budget", "150");
     let (running, other) = (turn("t1"), turn("t2"));
-    let refusing = async {
-        until("the first turn has its tokens", async || {
+    let second_turn = async {
+        until("the reservation of the first turn is durable", async || {
             site.rows("programs") > 0
         })
         .await;
         other.send(gateways[1].front).await
     };
-    let (served, refused) = futures_util::join!(running.send(gateways[0].front), refusing);
+    let (served, refused) = futures_util::join!(running.send(gateways[0].front), second_turn);
     assert_eq!((served.status, refused.status), (200, 402));
     insta::assert_snapshot!(story(&gateways[1], "t2").await);
 }
 
 const KEY: &str = "ship-key-000001";
 
-/// Routes with one customer, that may send one request a second.
+/// Returns routes with one customer, which may send one request per second.
 fn with_customer(version: u64, keys: &[&str]) -> serde_json::Value {
     let mut declared = support::routes(version);
     declared["tenants"] = serde_json::json!([
@@ -249,7 +252,7 @@
     site.store.put("op", "config", &with_customer(1, &[KEY]));
     let gateway = site.ready_gateway().await;
     site.store.put("op", "config", &with_customer(2, &[]));
-    until("the key is gone", async || {
+    until("the key is removed", async || {
         gateway.metric("routes_version").await == 2
     })
     .await;
--- a/gateway/tests/limits.rs
+++ b/gateway/tests/limits.rs
@@ -1,5 +1,6 @@
-//! Customers' limits over several hosts: no more is served than they allow, nobody
-//! below its limit is refused, and refusals tell the truth.
+//! Rate limits of customers over several hosts: the hosts together serve no more than a
+//! limit allows, customers below their limit are not refused, and refused requests did
+//! not run.
 
 mod support;
 
@@ -12,8 +13,8 @@
 
 const DESK: usize = 1;
 const KEY: &str = "ship-key-000001";
-const FREE_KEY: &str = "crew-key-000001";
-/// Requests a second and at once of the customer with a limit.
+const UNLIMITED_KEY: &str = "crew-key-000001";
+/// Rate in requests per second, and burst in requests, of the customer with a limit.
 const RATE_PER_S: u64 = 10;
 
 fn declared(version: u64, rate_per_s: u64) -> Value {
@@ -21,7 +22,7 @@
     declared["tenants"] = json!([
         {"name": "ship", "api-keys": [KEY], "priority": 1, "rate-per-s": rate_per_s,
          "burst": rate_per_s},
-        {"name": "crew", "api-keys": [FREE_KEY]},
+        {"name": "crew", "api-keys": [UNLIMITED_KEY]},
     ]);
     declared
 }
@@ -41,7 +42,7 @@
     Ask::lookup(attempt).header("authorization", &format!("Bearer {key}"))
 }
 
-/// Sends requests to all hosts in turn, all at once.
+/// Sends requests concurrently, distributed evenly over all hosts.
 async fn send_all(gateways: &[Gateway], name: &str, count: usize, key: &str) -> Vec<Answer> {
     let asks = (0..count).map(|number| {
         let front = gateways[number % gateways.len()].front;
@@ -57,16 +58,18 @@
     answers.iter().filter(|answer| answer.status == 200).count()
 }
 
-/// What operators bear in their window of 5 s, or in a longer time.
-fn allowed(rate_per_s: u64, time: Duration) -> usize {
+/// Returns the maximum number of requests that may be served in a time of at least the
+/// operators' window of 5 s, with the tolerated overage and slack.
+fn max_served(rate_per_s: u64, time: Duration) -> usize {
     let rate_per_s = rate_per_s as f64;
     let allowed = rate_per_s * time.as_secs_f64().max(5.0) + rate_per_s;
     (allowed * 1.1 + 20.0) as usize
 }
 
-/// Waits until the hosts hand out the whole limit: they begin with little.
-async fn until_full(gateways: &[Gateway]) {
-    until("hosts know their allocators", async || {
+/// Waits until the allocators grant the whole limit. They start with nearly empty
+/// buckets.
+async fn until_whole_limit_is_granted(gateways: &[Gateway]) {
+    until("the allocator grants quota", async || {
         let answers = send_all(gateways, "w", 1, KEY).await;
         served(&answers) == 1
     })
@@ -77,19 +80,22 @@
 #[actix_rt::test]
 async fn a_limit_holds_over_all_hosts_together() {
     let (site, gateways) = site_with(3).await;
-    until_full(&gateways).await;
+    until_whole_limit_is_granted(&gateways).await;
     let began = Instant::now();
-    let mut all = 0;
+    let mut served_count = 0;
     let mut refused = Vec::new();
     for round in 0..8 {
         let answers = send_all(&gateways, &format!("r{round}-"), 24, KEY).await;
-        all += served(&answers);
+        served_count += served(&answers);
         refused.extend(answers.into_iter().filter(|answer| answer.status != 200));
         actix_rt::time::sleep(Duration::from_millis(100)).await;
     }
-    assert!(all >= RATE_PER_S as usize, "{all} served");
-    assert!(all <= allowed(RATE_PER_S, began.elapsed()), "{all} served");
-    assert_eq!(site.runs(DESK).await.len() - 1, all);
+    assert!(served_count >= RATE_PER_S as usize, "{served_count} served");
+    assert!(
+        served_count <= max_served(RATE_PER_S, began.elapsed()),
+        "{served_count} served"
+    );
+    assert_eq!(site.runs(DESK).await.len() - 1, served_count);
     for answer in refused {
         assert_eq!(answer.status, 429);
         assert!(answer.retry_after_s().unwrap() > 0.0);
@@ -104,37 +110,40 @@
 #[actix_rt::test]
 async fn a_customer_below_its_limit_and_one_without_are_not_refused() {
     let (_site, gateways) = site_with(3).await;
-    until_full(&gateways).await;
+    until_whole_limit_is_granted(&gateways).await;
     for round in 0..12 {
         let answers = send_all(&gateways, &format!("r{round}-"), 1, KEY).await;
         assert_eq!(served(&answers), 1);
-        let free = send_all(&gateways, &format!("f{round}-"), 10, FREE_KEY).await;
-        assert_eq!(served(&free), 10);
+        let unlimited = send_all(&gateways, &format!("f{round}-"), 10, UNLIMITED_KEY).await;
+        assert_eq!(served(&unlimited), 10);
         actix_rt::time::sleep(Duration::from_millis(150)).await;
     }
 }
 
 #[actix_rt::test]
-async fn restarts_of_all_hosts_give_no_second_burst() {
+async fn restarts_of_all_hosts_allow_no_second_burst() {
     let (site, mut gateways) = site_with(2).await;
-    until_full(&gateways).await;
+    until_whole_limit_is_granted(&gateways).await;
     let began = Instant::now();
-    let mut all = served(&send_all(&gateways, "a", 60, KEY).await);
+    let mut served_count = served(&send_all(&gateways, "a", 60, KEY).await);
     for gateway in &mut gateways {
         gateway.kill();
     }
     let gateways = site.two_ready_gateways().await;
     for round in 0..6 {
-        all += served(&send_all(&gateways, &format!("b{round}-"), 20, KEY).await);
+        served_count += served(&send_all(&gateways, &format!("b{round}-"), 20, KEY).await);
         actix_rt::time::sleep(Duration::from_millis(100)).await;
     }
-    assert!(all <= allowed(RATE_PER_S, began.elapsed()), "{all} served");
+    assert!(
+        served_count <= max_served(RATE_PER_S, began.elapsed()),
+        "{served_count} served"
+    );
 }
 
 #[actix_rt::test]
-async fn a_lower_limit_holds_at_once() {
+async fn a_lowered_limit_applies_immediately() {
     let (site, gateways) = site_with(2).await;
-    until_full(&gateways).await;
+    until_whole_limit_is_granted(&gateways).await;
     site.store.put("op", "config", &declared(2, 1));
     for gateway in &gateways {
         until("the routes are in force", async || {
@@ -143,18 +152,21 @@
         .await;
     }
     let began = Instant::now();
-    let mut all = 0;
+    let mut served_count = 0;
     for round in 0..10 {
-        all += served(&send_all(&gateways, &format!("r{round}-"), 10, KEY).await);
+        served_count += served(&send_all(&gateways, &format!("r{round}-"), 10, KEY).await);
         actix_rt::time::sleep(Duration::from_millis(100)).await;
     }
-    assert!(all <= allowed(1, began.elapsed()), "{all} served");
+    assert!(
+        served_count <= max_served(1, began.elapsed()),
+        "{served_count} served"
+    );
 }
 
 #[actix_rt::test]
-async fn what_did_not_run_is_not_counted() {
+async fn requests_that_did_not_run_are_not_counted() {
     let (site, gateways) = site_with(1).await;
-    until_full(&gateways).await;
+    until_whole_limit_is_granted(&gateways).await;
     let faults = rosebend_standin::backend::BackendFaults {
         refuse: 1_000,
         ..Default::default()
@@ -163,33 +175,33 @@
     let answers = send_all(&gateways, "n", 60, KEY).await;
     assert_eq!(served(&answers), 0);
     site.endpoint_faults(DESK, &Default::default()).await;
-    until("what was given back may be served", async || {
+    until("refunded requests may be served", async || {
         served(&send_all(&gateways, "y", 8, KEY).await) == 8
     })
     .await;
 }
 
 #[actix_rt::test]
-async fn a_host_whose_allocator_is_gone_goes_on_by_another() {
+async fn another_allocator_replaces_one_that_was_killed() {
     let (_site, mut gateways) = site_with(3).await;
-    until_full(&gateways).await;
+    until_whole_limit_is_granted(&gateways).await;
     let mut last = gateways.pop().unwrap();
     last.kill();
-    until("the limit is handed out again", async || {
+    until("the limit is granted again", async || {
         served(&send_all(&gateways, "g", 4, KEY).await) == 4
     })
     .await;
 }
 
 #[actix_rt::test]
-async fn datagrams_of_strangers_change_nothing() {
+async fn forged_datagrams_are_ignored() {
     let (_site, gateways) = site_with(2).await;
-    until_full(&gateways).await;
+    until_whole_limit_is_granted(&gateways).await;
     let socket = std::net::UdpSocket::bind("127.0.0.1:0").unwrap();
-    let wanted = json!({"customer": "ship", "served": 1_000_000, "begun": 0, "held": 4_000_000_000_u32,
+    let forged_request = json!({"customer": "ship", "served": 1_000_000, "begun": 0, "held": 4_000_000_000_u32,
         "held_begins": 0, "waiting": 1_000, "waiting_begins": 0, "expected": 0});
     let forged = json!({"Ask": {"from": "gateway/0000000000000000", "to": "gateway/0000000000000000",
-        "number": 1, "groups": [0, 1, 2, 99], "heard_ms": 0, "customers": [wanted]}});
+        "number": 1, "groups": [0, 1, 2, 99], "heard_ms": 0, "customers": [forged_request]}});
     let messages = [
         format!("L1{forged}").into_bytes(),
         b"L1".to_vec(),
@@ -210,20 +222,20 @@
 }
 
 #[actix_rt::test]
-async fn a_program_under_way_goes_before_a_new_one() {
+async fn a_program_in_progress_takes_precedence_over_new_ones() {
     let (_site, gateways) = site_with(1).await;
-    until_full(&gateways).await;
+    until_whole_limit_is_granted(&gateways).await;
     let turn = |attempt: &str, program: &str| {
         Ask::turn(attempt, program, "x").header("authorization", &format!("Bearer {KEY}"))
     };
     let front = gateways[0].front;
     assert_eq!(turn("t0", "p0").send(front).await.status, 200);
-    let begun = (0..40).map(|number| {
+    let statuses = (0..40).map(|number| {
         let ask = turn(&format!("b{number}"), &format!("q{number}"));
         async move { ask.send(front).await.status }
     });
-    let begun = join_all(begun).await;
-    assert!(begun.contains(&429), "{begun:?}");
+    let statuses = join_all(statuses).await;
+    assert!(statuses.contains(&429), "{statuses:?}");
     let next = turn("t1", "p0").previous("t0").send(front).await;
     assert_eq!(next.status, 200);
     let call = Ask::new(Method::POST, "/fee/x")
--- a/gateway/tests/turns.rs
+++ b/gateway/tests/turns.rs
@@ -1,5 +1,5 @@
-//! Turns of programs: their history, their budget, and what happens to both
-//! when the store or a gateway fails.
+//! Turns of programs: their history and budget, also while the store or a gateway
+//! fails.
 
 mod support;
 
@@ -13,12 +13,12 @@
 
 const MODELS: usize = 0;
 const EVENTS: &str = "id: 0\ndata: word0\n\nid: 1\ndata: word1\n\nid: 2\ndata: word2\n\n";
-/// Transactions that the store answered.
-const TRANSACTIONS: &str = "store_calls_total{call=\"transact\",outcome=\"done\"}";
+/// Metric that counts the transactions to which the store responded.
+const COMPLETED_TRANSACTIONS: &str = "store_calls_total{call=\"transact\",outcome=\"done\"}";
 const OUTPUT: &str = "word0\nword1\nword2\n";
 
 #[actix_rt::test]
-async fn a_turn_gets_all_that_was_said_before() {
+async fn a_turn_receives_the_whole_history() {
     let (site, gateway) = Site::start_with_gateway().await;
     let first = Ask::turn("t1", "p1", "first|").send(gateway.front).await;
     assert_eq!(
@@ -40,7 +40,7 @@
 }
 
 #[actix_rt::test]
-async fn a_program_goes_on_at_another_host_after_its_host_died() {
+async fn a_program_resumes_at_another_host_after_its_host_was_killed() {
     let site = Site::start();
     let mut first = site.ready_gateway().await;
     Ask::turn("t1", "p1", "first|").send(first.front).await;
@@ -74,7 +74,7 @@
         site.runs(MODELS).await["u1"].body,
         format!("first|{OUTPUT}other|")
     );
-    // The new program's own turns are found by a third host, across both.
+    // A third host finds the history of the new program, which spans both programs.
     let third = site.ready_gateway().await;
     let answer = Ask::turn("u2", "p2", "more|")
         .previous("u1")
@@ -86,7 +86,7 @@
 }
 
 #[actix_rt::test]
-async fn long_inputs_are_kept_over_several_rows() {
+async fn long_inputs_are_stored_in_several_rows() {
     let (site, gateway) = Site::start_with_gateway().await;
     let long = "abcdefghij".repeat(9_500);
     let answer = Ask::turn("t1", "p1", &long).send(gateway.front).await;
@@ -104,15 +104,15 @@
 }
 
 #[actix_rt::test]
-async fn a_turn_that_never_was_is_denied_and_one_in_doubt_is_not() {
+async fn a_missing_turn_is_not_found_only_while_the_store_responds() {
     let (site, gateway) = Site::start_with_gateway().await;
     let unknown = Ask::turn("t9", "p1", "x").previous("never");
     assert_eq!(unknown.send(gateway.front).await.status, 404);
-    let silent = StoreFaults {
+    let unresponsive = StoreFaults {
         silent: true,
         ..StoreFaults::default()
     };
-    site.faults(&silent).await;
+    site.faults(&unresponsive).await;
     let answer = unknown.send(gateway.front).await;
     assert_eq!(answer.status, 503);
     assert!(answer.retry_after_s().is_some());
@@ -120,7 +120,7 @@
 }
 
 #[actix_rt::test]
-async fn a_turn_that_broke_off_is_not_part_of_the_history() {
+async fn an_incomplete_turn_is_not_part_of_the_history() {
     let (site, gateway) = Site::start_with_gateway().await;
     let faults = BackendFaults {
         cut_bodies: 1,
@@ -141,7 +141,7 @@
 async fn a_program_never_gets_more_than_its_budget() {
     let site = Site::start();
     let gateways = site.two_ready_gateways().await;
-    // Each turn may generate 100 tokens, and generates 30.
+    // Each turn may generate up to 100 tokens and generates 30.
     let mut served = 0;
     let mut previous: Option<String> = None;
     let mut refused = 0;
@@ -164,25 +164,25 @@
             status => panic!("{status}"),
         }
     }
-    // The seventh turn finds 180 tokens spent, the eighth 210.
+    // 180 tokens are spent before the seventh turn, and 210 before the eighth.
     assert_eq!((served, refused), (7, 7));
 }
 
-/// Waits until the gateway's own row among its peers is written, and returns the
-/// number of writes so far: where a machine is busy, its answer may be late and the
-/// row is written twice.
-async fn writes_after_its_row(site: &Site, gateway: &Gateway) -> u64 {
-    until("its row is written", async || {
-        gateway.metric(TRANSACTIONS).await == 1
+/// Waits until the gateway has written its own row to the table of peers, and returns
+/// the number of writes so far. On a busy machine, the response to the write may be late
+/// and the row is then written twice.
+async fn writes_after_own_peer_row(site: &Site, gateway: &Gateway) -> u64 {
+    until("the gateway's peer row is written", async || {
+        gateway.metric(COMPLETED_TRANSACTIONS).await == 1
     })
     .await;
     site.store.stats().transactions
 }
 
 #[actix_rt::test]
-async fn no_event_goes_out_before_the_turn_may_spend() {
+async fn no_event_is_forwarded_before_the_reservation_is_durable() {
     let (site, gateway) = Site::start_with_gateway().await;
-    let before = writes_after_its_row(&site, &gateway).await;
+    let before = writes_after_own_peer_row(&site, &gateway).await;
     let slow = StoreFaults {
         slow_ms: 100,
         ..StoreFaults::default()
@@ -204,9 +204,9 @@
 }
 
 #[actix_rt::test]
-async fn a_turn_by_itself_needs_two_writes_and_no_read_where_its_program_was_before() {
+async fn a_single_turn_needs_two_writes_and_no_read_if_its_program_is_cached() {
     let (site, gateway) = Site::start_with_gateway().await;
-    writes_after_its_row(&site, &gateway).await;
+    writes_after_own_peer_row(&site, &gateway).await;
     Ask::turn("t0", "p1", "x").send(gateway.front).await;
     const READS: &str = "store_calls_total{call=\"read\",outcome=\"done\"}";
     let reads = gateway.metric(READS).await;
@@ -219,9 +219,9 @@
     assert_eq!(gateway.metric(READS).await, reads);
 }
 
-/// What a turn alone writes twice, many at the same time write together.
+/// A single turn needs two writes. The writes of concurrent turns are batched.
 #[actix_rt::test]
-async fn turns_at_the_same_time_need_no_more_than_a_write_each() {
+async fn concurrent_turns_need_at_most_one_write_each() {
     const TURNS: u64 = 128;
     let (site, gateway) = Site::start_with_gateway().await;
     let slow = StoreFaults {
@@ -242,7 +242,7 @@
 }
 
 #[actix_rt::test]
-async fn lost_answers_of_the_store_lose_no_turn() {
+async fn lost_responses_of_the_store_lose_no_turn() {
     let (site, gateway) = Site::start_with_gateway().await;
     let mut previous = String::new();
     for number in 0..6 {
@@ -269,8 +269,8 @@
     assert_eq!(site.runs(MODELS).await["t5"].body, expected);
 }
 
-/// Lets a gateway wait longer for the store than any test lasts.
-async fn wait_for_ever(site: &Site, gateway: &Gateway) {
+/// Sets the gateway's store timeout to a time longer than any test takes.
+async fn set_long_store_timeout(site: &Site, gateway: &Gateway) {
     let address = site.door.address().to_string();
     gateway.change_settings(&address, &format!("{address}\ntimeout_ms = 60000"));
     gateway.signal("HUP");
@@ -280,20 +280,21 @@
     .await;
 }
 
-/// The pattern of a store that loses answers: every turn that comes to another host
-/// than the one before reads its history.
+/// Guards against a turn that waits for the whole store timeout when the store loses
+/// responses. A turn at another host than the previous turn reads the history from the
+/// store.
 #[actix_rt::test]
-async fn a_read_whose_answer_does_not_come_is_sent_again_before_its_timeout() {
+async fn a_read_without_response_is_sent_again_before_its_timeout() {
     let site = Site::start();
     let [first, second] = site.two_ready_gateways().await;
     let turn = Ask::turn("t1", "p1", "x").send(first.front).await;
     assert_eq!(turn.status, 200);
-    wait_for_ever(&site, &second).await;
-    let mute = StoreFaults {
+    set_long_store_timeout(&site, &second).await;
+    let lossy = StoreFaults {
         swallow_reads: 2,
         ..StoreFaults::default()
     };
-    site.faults(&mute).await;
+    site.faults(&lossy).await;
     let next = Ask::turn("t2", "p1", "y").previous("t1");
     let answer = tokio::time::timeout(Duration::from_secs(20), next.send(second.front)).await;
     let answer = answer.expect("the turn does not wait for the timeout");
@@ -301,14 +302,14 @@
 }
 
 #[actix_rt::test]
-async fn a_transaction_whose_answer_does_not_come_is_sent_again_before_its_timeout() {
+async fn a_transaction_without_response_is_sent_again_before_its_timeout() {
     let (site, gateway) = Site::start_with_gateway().await;
-    wait_for_ever(&site, &gateway).await;
-    let mute = StoreFaults {
+    set_long_store_timeout(&site, &gateway).await;
+    let lossy = StoreFaults {
         swallow_answers: 2,
         ..StoreFaults::default()
     };
-    site.faults(&mute).await;
+    site.faults(&lossy).await;
     let turn = Ask::turn("t1", "p1", "x");
     let answer = tokio::time::timeout(Duration::from_secs(20), turn.send(gateway.front)).await;
     let answer = answer.expect("the turn does not wait for the timeout");
@@ -318,17 +319,18 @@
     assert_eq!(site.store.stats().lost_answers, 2);
 }
 
-/// The pattern of a store that loses most answers: it answers other calls, so that this
-/// one is lost and not late.
+/// Guards against a turn that waits for the whole store timeout when the store loses
+/// most responses. The store responds to other calls meanwhile, which shows that the
+/// missing response is lost and not late.
 #[actix_rt::test]
-async fn a_transaction_is_sent_again_while_the_store_answers_other_calls() {
+async fn a_transaction_is_sent_again_while_the_store_responds_to_other_calls() {
     let (site, gateway) = Site::start_with_gateway().await;
-    wait_for_ever(&site, &gateway).await;
-    let mute = StoreFaults {
+    set_long_store_timeout(&site, &gateway).await;
+    let lossy = StoreFaults {
         swallow_answers: 4,
         ..StoreFaults::default()
     };
-    site.faults(&mute).await;
+    site.faults(&lossy).await;
     let turn = Ask::turn("t1", "p1", "x");
     let answer = tokio::time::timeout(Duration::from_secs(20), turn.send(gateway.front)).await;
     let answer = answer.expect("the turn does not wait for the timeout");
@@ -338,7 +340,7 @@
 }
 
 #[actix_rt::test]
-async fn an_outage_refuses_turns_with_a_growing_time_to_come_back() {
+async fn turns_refused_in_an_outage_get_a_retry_time_that_grows_with_it() {
     let (site, gateway) = Site::start_with_gateway().await;
     site.faults(&StoreFaults::refusing()).await;
     gateway.until_unready().await;
@@ -347,7 +349,7 @@
     assert_eq!(answer.status, 503);
     assert_eq!(answer.retry_after_s(), Some(1.0));
     assert_eq!(site.times_run("t1").await, 0);
-    // Requests that need nothing of the store go on.
+    // Requests that do not need the store are still served.
     let lookup = Ask::lookup("a1").send(gateway.front).await;
     assert_eq!(lookup.status, 200);
     site.faults(&StoreFaults::default()).await;
@@ -357,13 +359,13 @@
 }
 
 #[actix_rt::test]
-async fn a_silent_store_is_noticed_without_waiting_for_a_timeout() {
+async fn an_unresponsive_store_is_detected_before_a_timeout() {
     let (site, gateway) = Site::start_with_gateway().await;
-    let silent = StoreFaults {
+    let unresponsive = StoreFaults {
         silent: true,
         ..StoreFaults::default()
     };
-    site.faults(&silent).await;
+    site.faults(&unresponsive).await;
     gateway.until_unready().await;
     let answer = Ask::turn("t1", "p1", "x").send(gateway.front).await;
     assert_eq!(answer.status, 503);
--- a/gateway/tests/wire.rs
+++ b/gateway/tests/wire.rs
@@ -1,4 +1,5 @@
-//! What callers may write on a connection, byte by byte.
+//! Handling of the bytes that callers send on a connection: limits, framing, pipelining
+//! and timeouts.
 
 mod support;
 
@@ -11,11 +12,11 @@
 use tokio::net::TcpStream;
 
 const DESK: usize = 1;
-/// How long a connection may say nothing before it counts as answered.
-const QUIET: Duration = Duration::from_millis(400);
+/// Time without data after which a response is considered complete.
+const IDLE_TIME: Duration = Duration::from_millis(400);
 
-/// Routes with short limits.
-fn impatient(version: u64) -> serde_json::Value {
+/// Returns routes with short timeouts.
+fn routes_with_short_timeouts(version: u64) -> serde_json::Value {
     let mut routes = support::routes(version);
     routes["limits"]["header-timeout-ms"] = json!(300);
     routes["limits"]["idle-timeout-ms"] = json!(500);
@@ -24,7 +25,8 @@
 
 async fn site() -> (Site, Gateway) {
     let site = Site::without_routes();
-    site.store.put("op", "config", &impatient(1));
+    site.store
+        .put("op", "config", &routes_with_short_timeouts(1));
     let gateway = site.ready_gateway().await;
     (site, gateway)
 }
@@ -35,24 +37,26 @@
     stream
 }
 
-/// What comes back until the connection is closed or says nothing more.
+/// Reads until the connection is closed or receives no more data.
 async fn read(stream: &mut TcpStream) -> String {
     let mut text = Vec::new();
-    let mut piece = [0; 4096];
+    let mut buffer = [0; 4096];
     loop {
-        match tokio::time::timeout(QUIET, stream.read(&mut piece)).await {
-            Ok(Ok(length)) if length > 0 => text.extend_from_slice(&piece[..length]),
+        match tokio::time::timeout(IDLE_TIME, stream.read(&mut buffer)).await {
+            Ok(Ok(length)) if length > 0 => text.extend_from_slice(&buffer[..length]),
             _ => return String::from_utf8_lossy(&text).into_owned(),
         }
     }
 }
 
-async fn ask(gateway: &Gateway, text: &str) -> String {
+async fn exchange(gateway: &Gateway, text: &str) -> String {
     read(&mut connect(gateway, text).await).await
 }
 
-fn get(attempt: &str, more: &str) -> String {
-    format!("GET /lookup/x HTTP/1.1\r\nhost: desk.example\r\nattempt-id: {attempt}\r\n{more}\r\n")
+fn get(attempt: &str, more_headers: &str) -> String {
+    format!(
+        "GET /lookup/x HTTP/1.1\r\nhost: desk.example\r\nattempt-id: {attempt}\r\n{more_headers}\r\n"
+    )
 }
 
 fn post(attempt: &str, framing: &str, body: &str) -> String {
@@ -69,7 +73,7 @@
 }
 
 #[actix_rt::test]
-async fn heads_and_bodies_keep_to_their_limits_and_framing() {
+async fn heads_and_bodies_are_checked_for_length_and_framing() {
     let (site, gateway) = site().await;
     let long_header = format!("x-long: {}\r\n", "x".repeat(20_000));
     let chunk = format!("{:x}\r\n{}\r\n", 60_000, "x".repeat(60_000));
@@ -125,14 +129,14 @@
         ),
         ("no protocol", "lookup x\r\n\r\n".to_owned(), "400"),
     ];
-    for (what, text, status) in table {
-        let answer = ask(&gateway, &text).await;
-        assert_eq!(statuses(&answer), [status], "{what}: {answer}");
+    for (case, text, status) in table {
+        let answer = exchange(&gateway, &text).await;
+        assert_eq!(statuses(&answer), [status], "{case}: {answer}");
     }
     let runs = site.runs(DESK).await;
-    let mut ran: Vec<&String> = runs.keys().collect();
-    ran.sort();
-    assert_eq!(ran, ["a2", "a3"]);
+    let mut executed: Vec<&String> = runs.keys().collect();
+    executed.sort();
+    assert_eq!(executed, ["a2", "a3"]);
 }
 
 #[actix_rt::test]
@@ -140,35 +144,35 @@
     let (site, gateway) = site().await;
     let inner = post("inner", "content-length: 0", "");
     let framing = format!("content-length: {}", inner.len());
-    let answer = ask(&gateway, &post("outer", &framing, &inner)).await;
+    let answer = exchange(&gateway, &post("outer", &framing, &inner)).await;
     assert_eq!(statuses(&answer), ["200"], "{answer}");
-    // What follows the end of a body that was refused is not read as a request.
+    // Bytes after the body of a refused request are not parsed as a request.
     let both = "content-length: 4\r\ntransfer-encoding: chunked";
-    let answer = ask(&gateway, &post("b1", both, &format!("0\r\n\r\n{inner}"))).await;
+    let answer = exchange(&gateway, &post("b1", both, &format!("0\r\n\r\n{inner}"))).await;
     assert_eq!(statuses(&answer), ["400"], "{answer}");
     assert_eq!(site.times_run("inner").await, 0);
     assert_eq!(site.times_run("outer").await, 1);
 }
 
 #[actix_rt::test]
-async fn requests_sent_ahead_are_answered_in_their_order() {
+async fn pipelined_requests_are_answered_in_order() {
     let (_site, gateway) = site().await;
-    let ahead: String = (0..4)
+    let pipelined: String = (0..4)
         .map(|number| get(&format!("a{number}"), ""))
         .collect();
-    let answer = ask(&gateway, &ahead).await;
+    let answer = exchange(&gateway, &pipelined).await;
     assert_eq!(statuses(&answer), ["200"; 4], "{answer}");
-    let places = (0..4).map(|number| answer.find(&format!("answer to a{number}")).unwrap());
-    assert!(places.is_sorted(), "{answer}");
+    let positions = (0..4).map(|number| answer.find(&format!("answer to a{number}")).unwrap());
+    assert!(positions.is_sorted(), "{answer}");
 }
 
 #[actix_rt::test]
-async fn a_head_or_body_that_does_not_come_is_given_up() {
+async fn incomplete_heads_and_bodies_are_abandoned() {
     let (site, gateway) = site().await;
     let whole = get("a1", "");
-    let answer = ask(&gateway, &whole[..whole.len() - 10]).await;
+    let answer = exchange(&gateway, &whole[..whole.len() - 10]).await;
     assert_eq!(statuses(&answer), ["408"], "{answer}");
-    // A caller that stops sending in the middle of a body has left.
+    // A caller that closes its side of the connection within a body abandons the request.
     let mut cut = connect(&gateway, &post("a2", "content-length: 40", "body")).await;
     cut.shutdown().await.unwrap();
     let answer = read(&mut cut).await;
@@ -177,20 +181,20 @@
 }
 
 #[actix_rt::test]
-async fn an_idle_connection_serves_for_as_long_as_was_declared_and_is_closed_then() {
+async fn an_idle_connection_is_closed_after_the_declared_timeout() {
     let (_site, gateway) = site().await;
     let mut stream = connect(&gateway, &get("a1", "")).await;
     assert_eq!(statuses(&read(&mut stream).await), ["200"]);
-    let rest = Duration::from_millis(450).saturating_sub(QUIET);
-    actix_rt::time::sleep(rest).await;
+    let remaining = Duration::from_millis(450).saturating_sub(IDLE_TIME);
+    actix_rt::time::sleep(remaining).await;
     stream.write_all(get("a2", "").as_bytes()).await.unwrap();
     let answer = read(&mut stream).await;
     assert_eq!(statuses(&answer), ["200"], "{answer}");
-    // The gateway keeps it a little longer than it was told to, and no more.
+    // The gateway closes the connection shortly after the declared timeout.
     let clock = Clock::start();
     let closed = tokio::time::timeout(Duration::from_secs(20), stream.read(&mut [0])).await;
     assert_eq!(closed.unwrap().unwrap(), 0);
     assert!(clock.now() >= Duration::from_millis(100));
-    let told = ask(&gateway, &get("a3", "connection: close\r\n")).await;
-    assert!(told.to_lowercase().contains("connection: close"), "{told}");
+    let last = exchange(&gateway, &get("a3", "connection: close\r\n")).await;
+    assert!(last.to_lowercase().contains("connection: close"), "{last}");
 }
