--- a/gateway/src/intake.rs
+++ b/gateway/src/intake.rs
@@ -23,8 +23,9 @@
 
 /// Maximum time for a complete body to arrive.
 const BODY_TIMEOUT: Duration = Duration::from_secs(10);
-/// Maximum number of bytes of an oversized body that are read and discarded. A caller
-/// that is still sending when the connection closes would not receive the response.
+/// Maximum number of bytes of an oversized body that are read and discarded, so that
+/// the caller receives the response. A caller that is still sending when the connection
+/// closes may lose it.
 const MAX_DISCARDED_BYTES: usize = 1 << 20;
 
 /// Reads a request. `arrived` is the time of its arrival since the start of the
--- a/gateway/src/runs.rs
+++ b/gateway/src/runs.rs
@@ -41,7 +41,7 @@
     gateway: Rc<Gateway>,
     call: Rc<Call>,
     exchange: Exchange,
-    /// Events received so far, or none if the stream may not be resumed.
+    /// State of the event series, or none if the stream may not be resumed.
     series: Option<EventSeries>,
     /// Status and headers of the first run whose events were forwarded, or of the current
     /// run before that.
--- a/gateway/src/turn.rs
+++ b/gateway/src/turn.rs
@@ -63,7 +63,8 @@
         return forward_failure(gateway, call, exchanged).await;
     }
     if let Some(spending) = &mut spending {
-        // The turn has started at the endpoint, so it can no longer be refused as not run.
+        // The endpoint has started the turn, so the response may no longer state that the
+        // turn did not run.
         let granted = spending.granted(call).await;
         granted.map_err(|_| Refusal::OutcomeUnknown)?;
     }
--- a/gateway/src/turn_stream.rs
+++ b/gateway/src/turn_stream.rs
@@ -206,7 +206,8 @@
         Ok(())
     }
 
-    /// Records the completion of the turn in the metrics and in its request log.
+    /// Records the completion of the turn in the metrics and the request log, and clears
+    /// the request's count of crashes.
     fn record_completion(&self) {
         let elapsed = self.call.elapsed(self.gateway.clock.now());
         let in_time = self.first_event <= self.call.route.objective;
