--- a/gateway/src/exchange.rs
+++ b/gateway/src/exchange.rs
@@ -124,13 +124,13 @@
             quarantine::spawn_crash_check(&self.gateway, &self.call, endpoint);
         }
         let now = self.gateway.clock.now();
-        let remaining = self.call.left(now);
+        let remaining = self.call.remaining(now);
         self.report_failure(endpoint, failure, now);
         match self.attempt.next_step(&self.call.route, failure, remaining) {
             NextStep::TryAnother => Ok(()),
-            NextStep::Refuse => Err(Refusal::NoRoom),
+            NextStep::Refuse => Err(Refusal::NoEndpointAvailable),
             NextStep::UnknownOutcome => Err(Refusal::OutcomeUnknown),
-            NextStep::DeadlineExceeded => Err(Refusal::TimeIsUp),
+            NextStep::DeadlineExceeded => Err(Refusal::DeadlineExceeded),
         }
     }
 
@@ -142,7 +142,7 @@
         let event = event
             .elapsed(self.call.elapsed(now))
             .reason(failure.as_str());
-        self.call.trail.notable(event);
+        self.call.request_log.add_notable_step(event);
         if failure == Failure::Refused {
             return;
         }
@@ -161,7 +161,7 @@
     fn no_endpoint_left(&self) -> Refusal {
         match self.attempt.may_have_run() {
             true => Refusal::OutcomeUnknown,
-            false => Refusal::NoRoom,
+            false => Refusal::NoEndpointAvailable,
         }
     }
 
@@ -188,7 +188,7 @@
         };
         let warm = self.warm.as_ref().map(|warm| &warm.endpoint);
         let is_warm = warm == Some(&chosen.record.identity);
-        self.call.trail.step(match is_warm {
+        self.call.request_log.add_step(match is_warm {
             true => event.reason("warm"),
             false => event,
         });
@@ -201,7 +201,7 @@
     /// within the time limit.
     async fn try_endpoint(&self, endpoint: &EndpointRecord) -> Result<EndpointResponse, Failure> {
         let in_flight = self.gateway.begin_at(&endpoint.identity);
-        let remaining = self.call.left(self.gateway.clock.now());
+        let remaining = self.call.remaining(self.gateway.clock.now());
         let exchanging = self.send_request(endpoint, in_flight);
         let timeout = self.timeout().unwrap_or(remaining);
         let endpoint_response = tokio::time::timeout(remaining.min(timeout), exchanging).await;
@@ -226,7 +226,7 @@
         let elapsed = self.gateway.clock.now().saturating_sub(sent_at);
         let event = Event::new(EventKind::AnswerBegan).endpoint(&endpoint.identity.instance);
         let event = event.status(response.status().as_u16()).elapsed(elapsed);
-        self.call.trail.step(event);
+        self.call.request_log.add_step(event);
         self.check_response(&response, &header, endpoint)?;
         if self.call.route.kind == RouteKind::Streaming {
             let now = self.gateway.clock.now();
@@ -265,7 +265,7 @@
         // The target was parsed from a request line, so it is a valid URI.
         *request.uri_mut() = self.call.target.parse().unwrap_or_default();
         *request.headers_mut() = self.call.headers.clone();
-        let remaining = self.call.left(now);
+        let remaining = self.call.remaining(now);
         headers::address_to(
             request.headers_mut(),
             &endpoint.identity.instance,
--- a/gateway/src/plain.rs
+++ b/gateway/src/plain.rs
@@ -55,7 +55,7 @@
     call: &Call,
     endpoint_response: EndpointResponse,
 ) -> Result<Reply, Failure> {
-    let remaining = call.left(gateway.clock.now());
+    let remaining = call.remaining(gateway.clock.now());
     let (head, body) = endpoint_response.response.into_parts();
     let reading = Limited::new(body, MAX_RESPONSE_BYTES).collect();
     let body = tokio::time::timeout(remaining, reading).await;
@@ -74,8 +74,8 @@
     let status = head.status.as_u16();
     let elapsed = call.elapsed(gateway.clock.now());
     let in_time = elapsed <= call.route.objective;
-    call.trail
-        .served(&endpoint.instance, status, elapsed, in_time);
+    call.request_log
+        .record_served(&endpoint.instance, status, elapsed, in_time);
     gateway.metrics.count_request(call.route.kind, "answered");
     gateway.crashes.borrow_mut().clear(call.fingerprint);
     EndpointResponse::return_connection(
@@ -84,7 +84,7 @@
         endpoint_response.connection,
         &endpoint_response.header,
     );
-    Ok(Reply::Passed {
+    Ok(Reply::Forwarded {
         status,
         headers: headers::for_caller(&head.headers),
         body,
--- a/gateway/src/programs.rs
+++ b/gateway/src/programs.rs
@@ -34,7 +34,7 @@
         gateway.metrics.count_history_read(place);
         let elapsed = call.elapsed(gateway.clock.now());
         let event = Event::new(EventKind::HistoryRead).reason(place);
-        call.trail.step(event.elapsed(elapsed));
+        call.request_log.add_step(event.elapsed(elapsed));
     };
     let Some(previous) = &header.previous else {
         return Ok(None);
@@ -56,7 +56,7 @@
         return Ok(Some(turn));
     }
     let Some(program) = find_program(gateway, previous).await? else {
-        return Err(Refusal::NoSuchTurn);
+        return Err(Refusal::TurnNotFound);
     };
     let turn = read_turn(gateway, &program, previous).await?;
     record_found("other-program");
