--- a/gateway/src/entries.rs
+++ b/gateway/src/entries.rs
@@ -89,7 +89,7 @@
 
 /// Whether an entry that is gone now may have lapsed in an outage of the store.
 fn is_in_outage(gateway: &Gateway) -> bool {
-    let away_ago = gateway.feeds.store_away_ago();
+    let away_ago = gateway.feeds.time_since_store_unavailable();
     away_ago.is_some_and(|ago| ago < LAPSE_SPAN)
 }
 
--- a/gateway/src/feeds.rs
+++ b/gateway/src/feeds.rs
@@ -1,19 +1,22 @@
-//! What changes in the store's tables, from the store or from another gateway.
+//! Subscriptions to the changes of the store's tables.
 //!
-//! A few hosts of each availability zone read the store; the others ask the host
-//! above them in the tree of `rosebend_coordination::gateway::follow_tree`. Every
-//! host keeps what it knows of each table and answers its followers from that,
-//! without a call to the store. With the rows comes how long ago the store had
-//! nothing newer, so that a host knows how old its belief is; rows that grow too old
-//! make it read the store itself. Nothing is written on another host's word alone:
-//! conditions of transactions are checked by the store.
+//! If every host read the tables from the store, the load there would grow with the
+//! number of hosts. So only a few hosts of each availability zone read the store. Each
+//! other host requests changes from its upstream host in the distribution tree of
+//! `rosebend_coordination::gateway::follow_tree`. Every host caches the tables and
+//! answers its followers from the cache, without a call to the store.
 //!
-//! | what | where |
+//! Each answer contains the age of its rows, which is the time since the store is known
+//! to have had no newer ones. A host whose rows become too old reads the store itself.
+//! Rows from another host can be outdated, but they never cause a wrong write, because
+//! the store checks the conditions of each transaction.
+//!
+//! | responsibility | module |
 //! |---|---|
-//! | the tables, and what changes in nothing that hosts act on | `table` |
-//! | questions to the host above | `ask` |
+//! | the tables, and the changes that have no effect on hosts | `table` |
+//! | requests to the upstream host | `ask` |
 //! | answers to followers | `serve` |
-//! | whether the store is available, by the messages between hosts | `store_state` |
+//! | the availability of the store, as hosts report it to each other | `store_state` |
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -35,7 +38,7 @@
 pub use self::serve::{PATH, answer};
 pub use self::table::FollowedTable;
 
-use self::ask::Answered;
+use self::ask::ReceivedAnswer;
 use self::store_state::StoreState;
 use crate::metrics::{FeedSource, Metrics};
 use crate::peer_connections::PeerConnections;
@@ -45,31 +48,31 @@
 mod store_state;
 mod table;
 
-/// Longest wait of a host that starts for the table of gateways, from which it
-/// learns whom to follow.
+/// Maximum time that the other tables wait at the start of a host for the table of
+/// gateways, which determines the host's upstream.
 const HOSTS_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// What is new in a table.
+/// Changes of a table, or all of its rows, with the time at which they were current.
 #[derive(Clone, Debug, Default)]
-pub struct Followed {
-    /// Whether `rows` are all rows of the table.
+pub struct TableUpdate {
+    /// Whether `rows` are all rows of the table, so that all others have been deleted.
     pub is_whole: bool,
-    /// Rows that changed, in the order of their changes.
+    /// The changed rows, in the order of their changes.
     pub rows: Vec<Row>,
-    /// When the store had nothing newer.
+    /// The latest time at which the store is known to have had no newer rows.
     pub current_at: Duration,
-    /// Whether this host read them from the store.
+    /// Whether this host read the rows from the store.
     pub is_from_store: bool,
 }
 
-/// A table as this host knows it, and those that wait for it to change.
+/// The replica of a table, and the notification of the followers that wait for a change.
 #[derive(Debug, Default)]
-struct Known {
+struct CachedTable {
     replica: RefCell<TableReplica>,
     changed: Notify,
 }
 
-/// The tables that this host follows.
+/// This host's subscriptions to all tables.
 #[derive(Debug)]
 pub struct Feeds {
     store: Rc<StoreClient>,
@@ -78,14 +81,14 @@
     tree: RefCell<FollowTree<SocketAddr>>,
     has_hosts: watch::Sender<bool>,
     connections: PeerConnections,
-    tables: [Known; 4],
-    /// The host that is followed, as last logged.
+    tables: [CachedTable; 4],
+    /// The upstream host that was last logged, or `None` for the store.
     logged_source: RefCell<Option<HostId>>,
     store_state: StoreState,
 }
 
 impl Feeds {
-    /// A host that knows nothing yet.
+    /// Creates the subscriptions of a host that has no rows and knows no other hosts.
     pub fn new(
         own_host: HostId,
         store: Rc<StoreClient>,
@@ -105,110 +108,124 @@
         }
     }
 
-    /// Takes the hosts of the availability zone, this one among them.
+    /// Replaces the hosts of the availability zone, and closes the connections to hosts
+    /// that are not among them. `hosts` includes this host.
     pub fn set_hosts(&self, hosts: Vec<PeerHost<SocketAddr>>) {
-        let is_there = |address: &SocketAddr| hosts.iter().any(|host| host.address == *address);
-        self.connections.retain(is_there);
+        let is_listed = |address: &SocketAddr| hosts.iter().any(|host| host.address == *address);
+        self.connections.retain(is_listed);
         self.tree.borrow_mut().set_hosts(hosts);
         self.has_hosts.send_replace(true);
     }
 
-    /// Waits for changes of a table.
+    /// Waits for changes of a table and returns them. The update is empty if there were
+    /// none within the wait of the table.
     ///
     /// # Errors
     ///
-    /// Fails when nobody tells what changed; what is known stays as it was.
-    pub async fn next(self: &Rc<Self>, table: FollowedTable) -> Result<Followed, StoreError> {
+    /// Fails if no upstream host answers and the store cannot be read. The cached table
+    /// remains unchanged then.
+    pub async fn next(self: &Rc<Self>, table: FollowedTable) -> Result<TableUpdate, StoreError> {
         self.wait_for_hosts(table).await;
         while let Source::Host(host) = self.source() {
-            match self.ask(&host, table, table.follow_wait()).await {
-                Ok(answered) => return self.take_answer(&host, table, answered).await,
-                Err(error) => self.avoid(&host, error.word()),
+            match self
+                .request_changes(&host, table, table.follow_wait())
+                .await
+            {
+                Ok(received) => return self.process_answer(&host, table, received).await,
+                Err(error) => self.back_off(&host, error.as_str()),
             }
         }
         self.read_store(table).await
     }
 
-    /// Takes the table of gateways from one of these hosts; none when they do not have
-    /// it.
-    pub async fn take_hosts_from(
+    /// Requests the table of gateways from these hosts, one after another, and returns
+    /// the first one received, or `None` if none of them has it.
+    pub async fn request_hosts(
         self: &Rc<Self>,
         hosts: &[PeerHost<SocketAddr>],
-    ) -> Option<Followed> {
+    ) -> Option<TableUpdate> {
         let table = FollowedTable::Gateways;
         for host in hosts {
-            match self.ask(host, table, Duration::ZERO).await {
-                Ok(answered) if answered.answer.version.is_some() => {
-                    return self.take_answer(host, table, answered).await.ok();
+            match self.request_changes(host, table, Duration::ZERO).await {
+                Ok(received) if received.answer.version.is_some() => {
+                    return self.process_answer(host, table, received).await.ok();
                 }
                 Ok(_) => {}
-                Err(error) => self.avoid(host, error.word()),
+                Err(error) => self.back_off(host, error.as_str()),
             }
         }
         None
     }
 
-    /// How long ago the store had nothing newer of a table.
+    /// Returns the time since the store is known to have had no newer rows of a table, or
+    /// the time since the start of the process if there are no rows yet.
     pub fn age(&self, table: FollowedTable) -> Duration {
         let now = self.clock.now();
-        self.known(table).replica.borrow().age(now).unwrap_or(now)
+        self.cached(table).replica.borrow().age(now).unwrap_or(now)
     }
 
-    /// Whether this host follows another one.
+    /// Returns whether this host follows another host instead of the store.
     pub fn is_follower(&self) -> bool {
         matches!(self.source(), Source::Host(_))
     }
 
-    /// How long ago the store was last away, from this host or from the one that it
-    /// follows; none when it never was.
-    pub fn store_away_ago(&self) -> Option<Duration> {
-        let upstream = self.store_state.upstream_away_ago(self.clock.now());
+    /// Returns the time since the store was last unavailable to this host or to its
+    /// upstream host, or `None` if it never was.
+    pub fn time_since_store_unavailable(&self) -> Option<Duration> {
+        let upstream = self.store_state.time_since_unavailable(self.clock.now());
         let own = self.store.away_ago();
         own.into_iter().chain(upstream).min()
     }
 
-    /// Whether a host that the store does not answer should try it now.
+    /// Returns whether this host, while the store does not answer it, should probe the
+    /// store now.
     pub fn should_probe(&self) -> bool {
         let now = self.clock.now();
         self.store_state.should_probe(self.is_follower(), now)
     }
 
-    /// Notifies followers when the store became unavailable, or available again.
-    pub fn note_store_state(&self) {
-        if self.store_state.report(self.is_store_unavailable()) {
+    /// Notifies the followers if the store has become unavailable, or available again.
+    pub fn update_store_state(&self) {
+        if self.store_state.set_reported(self.is_store_unavailable()) {
             self.tables
                 .iter()
-                .for_each(|known| known.changed.notify_waiters());
+                .for_each(|cached| cached.changed.notify_waiters());
         }
     }
 
+    /// Returns whether the store is unavailable to this host or to its upstream host.
     fn is_store_unavailable(&self) -> bool {
-        self.is_store_away() || self.store_state.is_unavailable_upstream()
+        self.is_store_unreachable() || self.store_state.is_unavailable_upstream()
     }
 
-    /// Whether the store does not answer this host, whose first calls may be open.
-    fn is_store_away(&self) -> bool {
+    /// Returns whether the store does not answer this host. Unlike
+    /// `StoreClient::is_reachable`, this does not treat the store as unreachable while the
+    /// first calls are in flight.
+    fn is_store_unreachable(&self) -> bool {
         !self.store.unreachable_for().is_zero()
     }
 
-    fn known(&self, table: FollowedTable) -> &Known {
+    fn cached(&self, table: FollowedTable) -> &CachedTable {
         &self.tables[table as usize]
     }
 
     fn version(&self, table: FollowedTable) -> Option<RowVersion> {
-        self.known(table).replica.borrow().version()
+        self.cached(table).replica.borrow().version()
     }
 
-    /// A host that starts learns from the table of gateways whom to follow.
+    /// Waits until the hosts of the availability zone are known, unless the table is that
+    /// of gateways, which contains them. Without them, this host cannot determine its
+    /// upstream.
     async fn wait_for_hosts(&self, table: FollowedTable) {
         if table != FollowedTable::Gateways && !*self.has_hosts.borrow() {
             let mut has_hosts = self.has_hosts.subscribe();
-            let known = has_hosts.wait_for(|known| *known);
-            // Without the table it reads the store itself.
-            let _ = tokio::time::timeout(HOSTS_TIMEOUT, known).await;
+            let listed = has_hosts.wait_for(|is_set| *is_set);
+            // After a timeout, the host reads the store itself.
+            let _ = tokio::time::timeout(HOSTS_TIMEOUT, listed).await;
         }
     }
 
+    /// Returns the source of this host's rows, and logs it if it has changed.
     fn source(&self) -> Source<SocketAddr> {
         let source = self.tree.borrow().source(self.clock.now());
         let host = match &source {
@@ -227,7 +244,9 @@
         source
     }
 
-    fn avoid(&self, host: &PeerHost<SocketAddr>, reason: &'static str) {
+    /// Records that a host did not answer or had only stale rows. It is in backoff from now
+    /// on, so the source may change.
+    fn back_off(&self, host: &PeerHost<SocketAddr>, reason: &'static str) {
         let now = self.clock.now();
         let wait = self
             .tree
@@ -237,44 +256,48 @@
             let event = Event::new(EventKind::FeedSourceAvoided).host(&host.host);
             log_event(&event.wait_ms(whole_ms(wait)).reason(reason));
         }
-        self.store_state.forget_upstream();
+        self.store_state.clear_upstream_report();
     }
 
-    async fn take_answer(
+    /// Applies the answer of an upstream host. If its rows are stale and it contains no
+    /// changes, reads the store unless that is unreachable, and stops following the host.
+    async fn process_answer(
         self: &Rc<Self>,
         host: &PeerHost<SocketAddr>,
         table: FollowedTable,
-        answered: Answered,
-    ) -> Result<Followed, StoreError> {
-        let Answered { answer, at } = answered;
+        received: ReceivedAnswer,
+    ) -> Result<TableUpdate, StoreError> {
+        let ReceivedAnswer { answer, at } = received;
         self.record_store_state(host, &answer, at);
         let current_at = at.saturating_sub(answer.age);
         let level = self.tree.borrow().level();
         let is_stale = answer.version.is_none() || table.is_stale(answer.age, level);
-        let mut followed = Followed::default();
+        let mut update = TableUpdate::default();
         if let Some(version) = answer.version {
             let changes = TableChanges {
                 is_whole: answer.is_whole,
                 version,
                 rows: answer.rows,
             };
-            followed = self.apply(table, changes, current_at);
+            update = self.apply(table, changes, current_at);
         }
         if !is_stale {
             self.tree.borrow_mut().record_response(&host.host);
             self.metrics.count_feed(FeedSource::Host);
-            return Ok(followed);
+            return Ok(update);
         }
-        // Perhaps the store answers this host and not those above it.
-        let has_changes = !followed.rows.is_empty();
-        if has_changes || self.is_store_away() {
-            return Ok(followed);
+        // The store may answer this host although its upstream hosts cannot reach it.
+        let has_changes = !update.rows.is_empty();
+        if has_changes || self.is_store_unreachable() {
+            return Ok(update);
         }
         let read = self.read_store(table).await?;
-        self.avoid(host, "stale");
+        self.back_off(host, "stale");
         Ok(read)
     }
 
+    /// Records the upstream host's report on the store. If it is the first that reports
+    /// the store as unavailable, starts a check whether this host can reach the store.
     fn record_store_state(
         self: &Rc<Self>,
         host: &PeerHost<SocketAddr>,
@@ -282,49 +305,54 @@
         answered_at: Duration,
     ) {
         let is_lost = self.store_state.record(answer, answered_at);
-        self.note_store_state();
+        self.update_store_state();
         if is_lost && !self.store.is_direct_down() {
             actix_rt::spawn(Rc::clone(self).check_store(host.clone()));
         }
     }
 
-    /// Finds out whether the store is away from this host, too, or only from the host
-    /// above, which then receives no changes.
+    /// Probes the store after the upstream host reported it as unavailable. If the store
+    /// answers this host, the upstream host is cut off from it and receives no changes, so
+    /// this host stops following it.
     async fn check_store(self: Rc<Self>, host: PeerHost<SocketAddr>) {
         let table = FollowedTable::Gateways.name();
         if self.store.probe(table, "").await {
-            self.avoid(&host, "cut-off");
+            self.back_off(&host, "cut-off");
         }
     }
 
-    async fn read_store(&self, table: FollowedTable) -> Result<Followed, StoreError> {
+    /// Reads the changes of a table from the store, or the whole table if this host has no
+    /// rows or the store no longer has the changes since its version.
+    async fn read_store(&self, table: FollowedTable) -> Result<TableUpdate, StoreError> {
         self.metrics.count_feed(FeedSource::Store);
         // This host's own calls replace the upstream host's report.
-        self.store_state.forget_upstream();
-        let asked_at = self.clock.now();
+        self.store_state.clear_upstream_report();
+        let requested_at = self.clock.now();
         let result = match self.version(table) {
             None => self.read_whole(table).await,
-            Some(after) => match self.feed_store(table, after).await {
+            Some(after) => match self.read_changes(table, after).await {
                 Err(StoreError::HistoryGone) => self.read_whole(table).await,
                 result => result,
             },
         };
-        self.note_store_state();
+        self.update_store_state();
         let changes = result?;
-        // An answer that waited to be read tells nothing of the time since.
-        let latest = asked_at + self.store_wait(table);
+        // The store sent the answer no later than this. If the answer was received earlier
+        // but read later, the rows may have changed since.
+        let latest = requested_at + self.store_wait(table);
         let current_at = self.clock.now().min(latest);
-        let mut followed = self.apply(table, changes, current_at);
-        followed.is_from_store = true;
-        Ok(followed)
+        let mut update = self.apply(table, changes, current_at);
+        update.is_from_store = true;
+        Ok(update)
     }
 
+    /// Returns how long the store may wait for a change of a table before it answers.
     fn store_wait(&self, table: FollowedTable) -> Duration {
         table.store_wait(self.tree.borrow().has_children())
     }
 
-    /// Reads all rows of a table. The version is the least of all partitions', so that
-    /// a feed from it on misses no change.
+    /// Reads all rows of a table from the store. The version is the minimum of the
+    /// versions of all partitions, so that a feed from this version misses no change.
     async fn read_whole(&self, table: FollowedTable) -> Result<TableChanges, StoreError> {
         let ranges: Vec<RowRange> = table
             .partitions()
@@ -340,7 +368,9 @@
         })
     }
 
-    async fn feed_store(
+    /// Reads the changes of a table after a version from the store, and waits if there are
+    /// none.
+    async fn read_changes(
         &self,
         table: FollowedTable,
         after: RowVersion,
@@ -354,21 +384,27 @@
         })
     }
 
-    /// Applies changes to the replica. Older ones change nothing.
-    fn apply(&self, table: FollowedTable, changes: TableChanges, current_at: Duration) -> Followed {
-        let known = self.known(table);
+    /// Applies changes to the replica, notifies the followers and returns the update.
+    /// Changes that are older than the replica are ignored and result in an empty update.
+    fn apply(
+        &self,
+        table: FollowedTable,
+        changes: TableChanges,
+        current_at: Duration,
+    ) -> TableUpdate {
+        let cached = self.cached(table);
         let is_same = |known: &Row, row: &Row| table.is_same(known, row);
-        let is_applied = known
+        let is_applied = cached
             .replica
             .borrow_mut()
             .apply(&changes, current_at, is_same);
         if !is_applied {
-            return Followed::default();
+            return TableUpdate::default();
         }
         if changes.is_whole || !changes.rows.is_empty() {
-            known.changed.notify_waiters();
+            cached.changed.notify_waiters();
         }
-        Followed {
+        TableUpdate {
             is_whole: changes.is_whole,
             rows: changes.rows,
             current_at,
--- a/gateway/src/feeds/ask.rs
+++ b/gateway/src/feeds/ask.rs
@@ -1,4 +1,4 @@
-//! Asks another gateway what changed.
+//! Requests the changes of a table from another gateway.
 
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -13,50 +13,54 @@
 use super::{Feeds, FollowedTable};
 use crate::peer_connections::PeerError;
 
-/// Timeout for the head of an answer, which comes at once.
+/// Timeout for the head of an answer, which is sent before the wait for changes begins.
 const HEAD_TIMEOUT: Duration = Duration::from_millis(250);
-/// Timeout for the rest of an answer beyond the wait that was asked for.
+/// Timeout for the rest of an answer, in addition to the requested wait.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(350);
 
-/// An answer, and when it was given at the latest.
+/// An answer of an upstream host, and the latest time at which it can have been sent.
 #[derive(Debug)]
-pub(super) struct Answered {
+pub(super) struct ReceivedAnswer {
     pub(super) answer: FollowAnswer,
-    /// One that waited to be read tells nothing of the time since.
+    /// The latest time at which the answer can have been sent. If this process reads the
+    /// answer after the timeout of the request, this is the end of the timeout, because the
+    /// rows may have changed since.
     pub(super) at: Duration,
 }
 
-/// Why a host that is followed gave nothing.
+/// The reason for which an upstream host gave no usable answer.
 #[derive(Debug, thiserror::Error)]
-pub(super) enum AskError {
+pub(super) enum RequestError {
     #[error(transparent)]
     Peer(#[from] PeerError),
     #[error(transparent)]
     Malformed(#[from] FollowError),
-    #[error("it does not answer in time")]
-    Silent,
+    #[error("the host did not answer in time")]
+    Timeout,
 }
 
-impl AskError {
-    /// Word for logs.
-    pub(super) const fn word(&self) -> &'static str {
+impl RequestError {
+    /// Returns the `reason` code that is logged.
+    pub(super) const fn as_str(&self) -> &'static str {
         match self {
             Self::Peer(error) => error.word(),
             Self::Malformed(_) => "malformed",
-            Self::Silent => "silent",
+            Self::Timeout => "silent",
         }
     }
 }
 
 impl Feeds {
-    pub(super) async fn ask(
+    /// Requests the changes of a table after this host's version from another host, which
+    /// may wait up to `wait` for a change before it answers.
+    pub(super) async fn request_changes(
         &self,
         host: &PeerHost<SocketAddr>,
         table: FollowedTable,
         wait: Duration,
-    ) -> Result<Answered, AskError> {
+    ) -> Result<ReceivedAnswer, RequestError> {
         let latest = self.clock.now() + wait + ANSWER_TIMEOUT;
-        let question = encode_request(&FollowRequest {
+        let request = encode_request(&FollowRequest {
             asked_run: host.process.clone(),
             table: table.name().to_owned(),
             after: self.version(table),
@@ -64,19 +68,17 @@
             knows_store_unavailable: self.store_state.is_unavailable_upstream(),
         });
         let accepted = Cell::new(false);
-        let answer = self
-            .connections
-            .ask(host.address, PATH, question, &accepted);
+        let answer = self.connections.ask(host.address, PATH, request, &accepted);
         let mut answer = std::pin::pin!(answer);
         let head = tokio::time::timeout(HEAD_TIMEOUT, &mut answer).await;
         let answer = match head {
             Ok(answer) => answer?,
-            Err(_) if !accepted.get() => return Err(AskError::Silent),
+            Err(_) if !accepted.get() => return Err(RequestError::Timeout),
             Err(_) => tokio::time::timeout(wait + ANSWER_TIMEOUT, answer)
                 .await
-                .map_err(|_| AskError::Silent)??,
+                .map_err(|_| RequestError::Timeout)??,
         };
-        Ok(Answered {
+        Ok(ReceivedAnswer {
             answer: decode_answer(table.name(), &answer)?,
             at: self.clock.now().min(latest),
         })
--- a/gateway/src/peers.rs
+++ b/gateway/src/peers.rs
@@ -22,7 +22,7 @@
 
 use self::row::{PeerRow, key};
 use self::table::PeerTable;
-use crate::feeds::{self, Followed, FollowedTable};
+use crate::feeds::{self, FollowedTable, TableUpdate};
 use crate::gateway::Gateway;
 use crate::{joined_commits, recall, recent_history};
 
@@ -74,7 +74,7 @@
 
 /// The table from a host of this one's availability zone. When many hosts start, each
 /// would otherwise read the rows of all from the store.
-async fn take_from_another(gateway: &Gateway) -> Option<Followed> {
+async fn take_from_another(gateway: &Gateway) -> Option<TableUpdate> {
     let settings = gateway.settings();
     let range = RowRange::whole(TABLE, &row_id(&settings.host).partition);
     let rows = gateway.store.read_some(&range, FIRST_ROWS).await.ok()?;
@@ -83,10 +83,10 @@
     let mut hosts = table.candidates_of(&settings.availability_zone);
     hosts.retain(|host| host.host != settings.host);
     hosts.truncate(MAX_ASKED);
-    gateway.feeds.take_hosts_from(&hosts).await
+    gateway.feeds.request_hosts(&hosts).await
 }
 
-fn take(gateway: &Gateway, table: &mut PeerTable, followed: &Followed) {
+fn take(gateway: &Gateway, table: &mut PeerTable, followed: &TableUpdate) {
     if followed.is_whole {
         table.clear();
     }
@@ -173,7 +173,7 @@
         if gateway.store.is_direct_down() && gateway.feeds.should_probe() {
             gateway.store.probe(TABLE, "").await;
         }
-        gateway.feeds.note_store_state();
+        gateway.feeds.update_store_state();
     }
 }
 
--- a/gateway/src/watch.rs
+++ b/gateway/src/watch.rs
@@ -9,7 +9,7 @@
 use rosebend_transport::event::{Event, EventKind, log_event};
 
 use crate::entries;
-use crate::feeds::{Followed, FollowedTable};
+use crate::feeds::{FollowedTable, TableUpdate};
 use crate::gateway::Gateway;
 
 /// Pause after a failure.
@@ -65,7 +65,7 @@
     }
 }
 
-fn take_endpoints(gateway: &Gateway, followed: &Followed) {
+fn take_endpoints(gateway: &Gateway, followed: &TableUpdate) {
     match followed.is_whole {
         true => entries::take_all(gateway, &followed.rows),
         false => {
