--- a/gateway/src/exchange.rs
+++ b/gateway/src/exchange.rs
@@ -17,7 +17,7 @@
 use rosebend_transport::event::{Event, EventKind, log_event};
 
 use crate::call::Call;
-use crate::gateway::{AtEndpoint, Gateway};
+use crate::gateway::{Gateway, OpenEndpointRequest};
 use crate::quarantine;
 use crate::reply::Refusal;
 
@@ -31,7 +31,7 @@
     /// The connection, which is closed when this is dropped.
     pub connection: Connection,
     /// Counts the request at the endpoint.
-    pub at: AtEndpoint,
+    pub at: OpenEndpointRequest,
     /// When the request was sent.
     pub sent: Duration,
 }
@@ -182,7 +182,7 @@
     }
 
     async fn try_at(&self, endpoint: &EndpointRecord) -> Result<Exchanged, Failure> {
-        let at = self.gateway.begin_at(&endpoint.identity);
+        let at = self.gateway.start_endpoint_request(&endpoint.identity);
         let left = self.call.left(self.gateway.clock.now());
         let exchanging = self.exchange(endpoint, at);
         let timeout = self.timeout().unwrap_or(left);
@@ -196,7 +196,7 @@
     async fn exchange(
         &self,
         endpoint: &EndpointRecord,
-        at: AtEndpoint,
+        at: OpenEndpointRequest,
     ) -> Result<Exchanged, Failure> {
         let mut connection = self.connect(endpoint).await?;
         let sent = self.gateway.clock.now();
--- a/gateway/src/front.rs
+++ b/gateway/src/front.rs
@@ -207,11 +207,11 @@
 
 fn status(gateway: &Gateway, request: &Request) -> Response<BoxBody> {
     if request.path() == METRICS_PATH {
-        let page = gateway.metrics.page(&gateway.quantities());
+        let page = gateway.metrics.page(&gateway.gauge_values());
         return Response::with_body(StatusCode::OK, page.boxed());
     }
     let (status, body) = match request.path() {
-        READY_PATH if gateway.note_readiness() => (StatusCode::OK, "ready\n"),
+        READY_PATH if gateway.update_readiness() => (StatusCode::OK, "ready\n"),
         READY_PATH => (StatusCode::SERVICE_UNAVAILABLE, "not ready\n"),
         _ => (StatusCode::NOT_FOUND, "no such page\n"),
     };
--- a/gateway/src/gateway.rs
+++ b/gateway/src/gateway.rs
@@ -1,5 +1,7 @@
-//! What the parts of the process share. All of it lives on one thread: the
-//! hosts have one core, and what is decided is a few microseconds a request.
+//! The state that the modules of the process share.
+//!
+//! All of it belongs to one thread, so it needs no locks. Hosts have a single core, and
+//! the decisions for a request take only a few microseconds.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -26,84 +28,96 @@
 use crate::holders::HolderAddresses;
 use crate::joined_commits::JoinedCommits;
 use crate::limits::Limits;
-use crate::metrics::{Metrics, Quantities};
+use crate::metrics::{GaugeValues, Metrics};
 use crate::pool::Pool;
 use crate::recent_history::RecentHistory;
 use crate::reply::Refusal;
 use crate::retention::Retention;
 use crate::unusable;
 
-/// Bytes of turns that are kept in memory, so that most turns need no read.
-const HISTORY_BYTES: usize = 24 << 20;
+/// Maximum size of the cached turns in bytes. Most turns continue a cached turn and need
+/// no read from the store.
+const MAX_HISTORY_BYTES: usize = 24 << 20;
 
-/// How long the store may be out of reach before the host takes no callers:
-/// others may reach it, and the balancer takes seconds to see the answer.
+/// Time for which the store may be unreachable before the host reports that it is not
+/// ready for callers. Other hosts may still reach the store, and the balancer takes seconds
+/// to react.
 const UNREADY_AFTER: Duration = Duration::from_millis(400);
 
-/// The process's state.
+/// The state of the process.
 #[derive(Debug)]
 pub struct Gateway {
-    /// Settings in force.
+    /// The active settings.
     settings: RefCell<Rc<GatewaySettings>>,
-    /// Time since the start.
+    /// The clock, which starts with the process.
     pub clock: Clock,
-    /// What is counted.
+    /// The metrics of the process.
     pub metrics: Rc<Metrics>,
-    /// The platform's store.
+    /// The client of the platform's store.
     pub store: Rc<StoreClient>,
-    /// What changes in the store's tables.
+    /// The subscriptions to the changes of the store's tables.
     pub feeds: Rc<Feeds>,
-    /// Transactions on their way to the store, and those joined for other hosts.
+    /// The transactions in flight, and those that this host batches for other hosts.
     pub joined_commits: Rc<JoinedCommits>,
-    /// Changes of programs on their way to the store.
+    /// The changes of programs that are not durable yet.
     pub commits: Rc<Commits>,
-    /// Routes in force; none before the first was read.
+    /// The active routes, or `None` before the first were read.
     routes: RefCell<Option<Rc<RouteTable>>>,
-    /// When the store last said that these are the newest.
+    /// The latest time at which the store is known to have had no newer routes.
     confirmation: Cell<Confirmation>,
-    /// Endpoints that are there.
+    /// The known endpoints.
     pub directory: RefCell<Directory>,
-    /// The queues of engines, which decide whether new programs are begun.
+    /// The queues of engines, which determine whether new programs are admitted.
     pub admission: RefCell<Admission>,
-    /// Entries that name no endpoint to use.
+    /// The invalid entries in the table of endpoints.
     pub refusals: RefCell<RefusedEntries>,
-    /// Idle connections to endpoints.
+    /// The idle connections to endpoints.
     pub pool: RefCell<Pool>,
-    /// Turns in memory.
+    /// The cached turns.
     pub history: RefCell<TurnCache>,
-    /// History of programs that is kept for other hosts.
+    /// The history of programs that this host caches for its availability zone.
     pub recent_history: RecentHistory,
-    /// Customers' limits.
+    /// The limits of customers.
     pub limits: Limits,
-    /// What may be spent while the store is unavailable.
+    /// The tokens that programs may spend while the store is unavailable.
     pub escrow: Escrow,
-    /// Rows that are to be deleted one day.
+    /// The rows that are to be deleted when their retention time ends.
     pub retention: Retention,
-    /// Where other gateways answer that hold tokens of programs.
+    /// The addresses of other gateway processes, which may hold reservations of programs'
+    /// tokens.
     pub holders: HolderAddresses,
-    /// Requests that crash endpoints.
+    /// The number of crashes per fingerprint of a request.
     pub crashes: RefCell<CrashCounts>,
-    /// Requests that callers wait for.
+    /// Number of requests that callers wait for.
     open_requests: Cell<u64>,
-    /// Set once the process is asked to stop.
+    /// Whether the process has been asked to stop.
     stopping: Cell<bool>,
-    /// Whether callers could be served at the last look.
+    /// Whether the host was ready for callers when this was last checked.
     was_ready: Cell<bool>,
 }
 
 impl Gateway {
-    /// The state of a process that knows nothing yet.
+    /// Creates the state of a process that has not received any routes, endpoints or peers.
     pub fn new(settings: GatewaySettings) -> Self {
         let clock = Clock::start();
         let metrics = Rc::new(Metrics::default());
         let store = Rc::new(store_client(&settings.store, clock, &metrics));
-        // Tokens that one run of the process reserved are not the next one's.
-        let run = format!("{}/{}", settings.host, random_id());
-        let joined_commits =
-            JoinedCommits::new(run.clone(), Rc::clone(&store), Rc::clone(&metrics), clock);
+        // The name of the process is unique to this run, because tokens that an earlier run
+        // reserved do not belong to it.
+        let process = format!("{}/{}", settings.host, random_id());
+        let joined_commits = JoinedCommits::new(
+            process.clone(),
+            Rc::clone(&store),
+            Rc::clone(&metrics),
+            clock,
+        );
         joined_commits.set_writes_per_s(settings.store.writes_per_s);
         let joined_commits = Rc::new(joined_commits);
-        let commits = Commits::new(run.clone(), Rc::clone(&store), Rc::clone(&joined_commits));
+        let commits = Commits::new(
+            process.clone(),
+            Rc::clone(&store),
+            Rc::clone(&joined_commits),
+        );
         let feeds = Feeds::new(
             settings.host.clone(),
             Rc::clone(&store),
@@ -123,10 +137,10 @@
             admission: RefCell::default(),
             refusals: RefCell::default(),
             pool: RefCell::default(),
-            history: RefCell::new(TurnCache::new(HISTORY_BYTES)),
-            recent_history: RecentHistory::new(run.clone()),
-            limits: Limits::new(run.clone(), tolerance(&settings.customers)),
-            escrow: Escrow::new(run.clone()),
+            history: RefCell::new(TurnCache::new(MAX_HISTORY_BYTES)),
+            recent_history: RecentHistory::new(process.clone()),
+            limits: Limits::new(process.clone(), tolerance(&settings.customers)),
+            escrow: Escrow::new(process.clone()),
             retention: Retention::default(),
             holders: HolderAddresses::default(),
             crashes: RefCell::default(),
@@ -137,12 +151,12 @@
         }
     }
 
-    /// Settings in force.
+    /// Returns the active settings.
     pub fn settings(&self) -> Rc<GatewaySettings> {
         Rc::clone(&self.settings.borrow())
     }
 
-    /// Puts other settings in force, for what begins from now on.
+    /// Replaces the active settings. They apply to requests that begin after the call.
     pub fn set_settings(&self, settings: GatewaySettings) {
         let store = &settings.store;
         self.store.set_store(store.address, store.timeout);
@@ -151,13 +165,14 @@
         self.settings.replace(Rc::new(settings));
     }
 
-    /// The routes in force.
+    /// Returns the active routes, or `None` before the first were read.
     pub fn routes(&self) -> Option<Rc<RouteTable>> {
         self.routes.borrow().clone()
     }
 
-    /// Puts routes in force, unless newer ones are.
-    pub fn put_in_force(&self, routes: RouteTable) -> bool {
+    /// Replaces the active routes. Returns false, and changes nothing, if these are not newer
+    /// than the active ones.
+    pub fn apply_routes(&self, routes: RouteTable) -> bool {
         let mut current = self.routes.borrow_mut();
         let version = current.as_ref().map(|table| table.deployment().version);
         if version.is_some_and(|version| version >= routes.deployment().version) {
@@ -174,23 +189,25 @@
         true
     }
 
-    /// Takes note that the store had no newer routes at `at`.
+    /// Records that the store had no newer routes at `at`.
     pub fn confirm_routes(&self, at: Duration) {
         let mut confirmation = self.confirmation.get();
         confirmation.confirm(at);
         self.confirmation.set(confirmation);
     }
 
-    /// Whether a customer's key may be trusted to be what it was.
+    /// Returns whether the keys of customers were confirmed recently enough to accept them.
+    /// A key may have been revoked since the store last confirmed the routes.
     pub fn are_keys_confirmed(&self) -> bool {
         let age = self.confirmation.get().age(self.clock.now());
         let within = self.settings.borrow().customers.keys_confirmed_within;
         within.is_none_or(|within| age <= within)
     }
 
-    /// What is said of a request that the routes deny; a newer version, of which
-    /// this host has not heard, may have its route or key.
-    pub fn unless_doubted(&self, denial: Refusal) -> Refusal {
+    /// Returns the refusal of a request that the active routes deny. If the routes may be
+    /// outdated, a missing route or key becomes [`Refusal::RoutesUnconfirmed`], because a
+    /// newer version of the routes may contain it.
+    pub fn unless_routes_stale(&self, denial: Refusal) -> Refusal {
         let is_denied = matches!(denial, Refusal::NoRoute | Refusal::UnknownKey);
         match is_denied && self.confirmation.get().is_stale(self.clock.now()) {
             true => Refusal::RoutesUnconfirmed,
@@ -198,18 +215,18 @@
         }
     }
 
-    /// Refuses what needs the store.
+    /// Returns the refusal of a request that needs the store while it is unreachable.
     pub fn store_unreachable(&self) -> Refusal {
         self.store.tell_if_lost();
         Refusal::StoreUnreachable(self.store.unreachable_for())
     }
 
-    /// Whether the store answers for a program.
+    /// Checks that the store is reachable and accepts calls for a program's partition.
     ///
     /// # Errors
     ///
-    /// Refuses the program while it does not, or refuses the program's partition.
-    pub fn reach(&self, program: &str) -> Result<(), Refusal> {
+    /// Returns a refusal while it is unreachable or refuses calls for the partition.
+    pub fn check_reachable(&self, program: &str) -> Result<(), Refusal> {
         let partition = partition_of(program);
         match self.store.is_reachable() && !self.store.is_partition_refused(&partition) {
             true => Ok(()),
@@ -217,15 +234,17 @@
         }
     }
 
-    /// Refuses what needs a program's rows.
+    /// Returns the refusal of a request that needs the rows of a program while the store does
+    /// not return them.
     pub fn program_unreachable(&self, program: &str) -> Refusal {
         self.store.tell_if_lost();
         let partition = partition_of(program);
         Refusal::StoreUnreachable(self.store.partition_unreachable_for(&partition))
     }
 
-    /// Whether the balancer should send callers here. A change is logged first.
-    pub fn note_readiness(&self) -> bool {
+    /// Returns whether the balancer should send callers to this host. A change is logged before
+    /// this returns, so that the log contains each state that the balancer sees.
+    pub fn update_readiness(&self) -> bool {
         let readiness = self.readiness();
         if self.was_ready.replace(readiness.is_ok()) != readiness.is_ok() {
             let reason = readiness.err().unwrap_or("ready");
@@ -234,11 +253,11 @@
         readiness.is_ok()
     }
 
-    /// Whether callers can be served.
+    /// Checks whether this host can serve callers.
     ///
     /// # Errors
     ///
-    /// Tells in a word why not.
+    /// Returns the `reason` code that is logged if it cannot.
     fn readiness(&self) -> Result<(), &'static str> {
         if self.is_stopping() {
             return Err("stopping");
@@ -256,16 +275,16 @@
         Ok(())
     }
 
-    /// Whether the process was asked to stop.
+    /// Returns whether the process has been asked to stop.
     pub fn is_stopping(&self) -> bool {
         self.stopping.get()
     }
 
-    /// Quantities for the metrics page.
-    pub fn quantities(&self) -> Quantities {
+    /// Returns the current values of the gauges.
+    pub fn gauge_values(&self) -> GaugeValues {
         let routes = self.routes.borrow();
         let version = routes.as_ref().map(|table| table.deployment().version);
-        Quantities {
+        GaugeValues {
             open_requests: self.open_requests(),
             open_changes: self.commits.open_changes() as u64,
             endpoints: self.directory.borrow().len() as u64,
@@ -285,33 +304,37 @@
         }
     }
 
-    /// Takes no new callers from now on.
+    /// Marks the process as stopping. The host is no longer ready, and it closes each
+    /// connection after its next response. It still serves requests that arrive.
     pub fn stop(&self) {
         self.stopping.set(true);
     }
 
-    /// Counts a request until the guard is dropped.
+    /// Counts a request as open until the returned guard is dropped.
     pub fn open_request(self: &Rc<Self>) -> OpenRequest {
         self.open_requests.set(self.open_requests.get() + 1);
         OpenRequest(Rc::clone(self))
     }
 
-    /// Requests that callers wait for.
+    /// Returns the number of requests that callers wait for.
     pub fn open_requests(&self) -> u64 {
         self.open_requests.get()
     }
 
-    /// Counts a request at an endpoint until the guard is dropped.
-    pub fn begin_at(self: &Rc<Self>, endpoint: &EndpointIdentity) -> AtEndpoint {
+    /// Counts a request as running at an endpoint until the returned guard is dropped.
+    pub fn start_endpoint_request(
+        self: &Rc<Self>,
+        endpoint: &EndpointIdentity,
+    ) -> OpenEndpointRequest {
         self.directory.borrow_mut().record_request_start(endpoint);
-        AtEndpoint {
+        OpenEndpointRequest {
             gateway: Rc::clone(self),
             endpoint: endpoint.clone(),
         }
     }
 }
 
-/// How far customers may exceed their limits.
+/// Returns the amount by which customers may exceed their limits.
 fn tolerance(settings: &CustomerSettings) -> Tolerance {
     Tolerance {
         window: settings.limit_window,
@@ -320,7 +343,7 @@
     }
 }
 
-/// Counts a request that a caller waits for.
+/// A guard that counts a request as open until it is dropped.
 #[derive(Debug)]
 pub struct OpenRequest(Rc<Gateway>);
 
@@ -330,15 +353,15 @@
     }
 }
 
-/// Counts a request at an endpoint.
+/// A guard that counts a request as running at an endpoint until it is dropped.
 #[derive(Debug)]
-pub struct AtEndpoint {
+pub struct OpenEndpointRequest {
     gateway: Rc<Gateway>,
-    /// The start of the endpoint.
+    /// The incarnation of the endpoint that runs the request.
     pub endpoint: EndpointIdentity,
 }
 
-impl Drop for AtEndpoint {
+impl Drop for OpenEndpointRequest {
     fn drop(&mut self) {
         self.gateway
             .directory
@@ -347,10 +370,10 @@
     }
 }
 
-/// The client of the store, whose calls are counted.
+/// Creates the client of the store, whose calls are counted and timed in the metrics.
 fn store_client(settings: &StoreSettings, clock: Clock, metrics: &Rc<Metrics>) -> StoreClient {
     let metrics = Rc::clone(metrics);
     StoreClient::new(settings.address, settings.timeout, clock).with_observer(Box::new(
-        move |call, error, took| metrics.count_store_call(call, error, took),
+        move |call, error, elapsed| metrics.count_store_call(call, error, elapsed),
     ))
 }
--- a/gateway/src/intake.rs
+++ b/gateway/src/intake.rs
@@ -102,10 +102,10 @@
 ) -> Result<(&'a Route, Option<Arc<Customer>>), Refusal> {
     let host = headers::host(headers).map_err(Refusal::HeaderUnusable)?;
     let route = routes.route(host, request.path());
-    let route = route.map_err(|error| gateway.unless_doubted(error.into()))?;
+    let route = route.map_err(|error| gateway.unless_routes_stale(error.into()))?;
     let key = headers::customer_key(headers);
     let customer = identify(routes.deployment(), route, key.as_ref());
-    let customer = customer.map_err(|error| gateway.unless_doubted(error.into()))?;
+    let customer = customer.map_err(|error| gateway.unless_routes_stale(error.into()))?;
     if customer.is_some() && !gateway.are_keys_confirmed() {
         return Err(Refusal::KeysUnconfirmed);
     }
--- a/gateway/src/joined_commits.rs
+++ b/gateway/src/joined_commits.rs
@@ -225,11 +225,11 @@
     ) -> Trying<'a> {
         match way {
             Way::Here => Box::pin(async {
-                self.metrics.count_commit(CommitWay::Here);
+                self.metrics.count_commit(CommitWay::Local);
                 Tried::Ended(self.join(transaction.clone()).await)
             }),
             Way::By(candidate) => Box::pin(async move {
-                self.metrics.count_commit(CommitWay::Gatherer);
+                self.metrics.count_commit(CommitWay::Batcher);
                 self.try_by(&candidate, transaction, &accepted).await
             }),
         }
@@ -385,7 +385,7 @@
             Some(late) => partition.group.record_overdue_answer(late, answer),
             None => partition.group.record_answer(answer),
         };
-        self.metrics.count_joined(ended.len());
+        self.metrics.count_batch(ended.len());
         partition.tell(ended, error);
         // Others may have waited for its rows alone.
         if partition.group.has_pending() {
--- a/gateway/src/metrics.rs
+++ b/gateway/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters, gauges and histograms of a gateway, and their page.
+//! The counters, gauges and histograms of a gateway, and the metrics page.
 
 use std::time::Duration;
 
@@ -15,10 +15,11 @@
 use rosebend_transport::store::{StoreCall, StoreError};
 
 const PREFIX: &str = "rosebend_gateway";
-/// Least bound of a time histogram, in seconds; each next one is twice as far.
-const FIRST_BOUND_SECONDS: f64 = 0.001;
-/// Number of bounds; the last one is about 16 seconds.
-const BOUNDS: u16 = 15;
+/// The smallest bucket bound of a time histogram in seconds. Each following bound is twice
+/// the previous one.
+const MIN_BUCKET_SECONDS: f64 = 0.001;
+/// Number of bucket bounds; the largest one is about 16 seconds.
+const BUCKET_COUNT: u16 = 15;
 
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 #[derive(EncodeLabelSet)]
@@ -35,7 +36,7 @@
 
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 #[derive(EncodeLabelSet)]
-struct FilledLabel {
+struct FilledByLabel {
     filled_by: &'static str,
 }
 
@@ -58,83 +59,84 @@
     outcome: &'static str,
 }
 
-/// A time that is measured.
+/// A time that is measured in a histogram.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Timing {
-    /// From the arrival of a plain request to its answer.
+    /// The time from the arrival of a plain request to its answer.
     Request,
-    /// From the arrival of a turn to its first event.
+    /// The time from the arrival of a turn to its first event.
     FirstEvent,
-    /// From the arrival of a turn to its end.
+    /// The time from the arrival of a turn to its end.
     Turn,
-    /// From the end of an endpoint's answer until its turn is durable.
+    /// The time from the end of an endpoint's answer until its turn is durable.
     Record,
-    /// A call to the store.
+    /// The duration of a call to the store.
     StoreCall,
 }
 
-/// Who sends a transaction to the store.
+/// The way in which a transaction is sent to the store.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum CommitWay {
-    /// This host.
-    Here,
-    /// The host that gathers for the partition.
-    Gatherer,
+    /// This host sends it itself.
+    Local,
+    /// Another host, the batcher of the partition, sends it.
+    Batcher,
 }
 
-/// Who told what changed in a table.
+/// The source from which changes of a table are read.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum FeedSource {
     /// The store.
     Store,
-    /// The host that this one follows.
+    /// The upstream host.
     Host,
 }
 
-/// A quantity as it stands when the page is asked for.
+/// The values of the gauges at the time of a request for the metrics page.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub struct Quantities {
-    /// Requests that callers wait for.
+pub struct GaugeValues {
+    /// Number of requests that callers wait for.
     pub open_requests: u64,
-    /// Changes of programs that are not durable yet.
+    /// Number of changes of programs that are not durable yet.
     pub open_changes: u64,
-    /// Endpoints that get requests.
+    /// Number of endpoints that receive requests.
     pub endpoints: u64,
-    /// Version of the routes in force; zero before the first.
+    /// Version of the active routes, or zero before the first were read.
     pub routes_version: u64,
-    /// Milliseconds since the store last answered, while it does not.
+    /// Milliseconds for which the store has not answered, or zero while it does.
     pub store_unreachable_ms: u64,
-    /// 1 while the host is ready for callers.
+    /// 1 while the host is ready for callers, otherwise 0.
     pub ready: u64,
-    /// Other gateways that may pass calls to the store on.
+    /// Number of other gateways that can relay calls to the store.
     pub peers: u64,
-    /// Transactions, of all hosts, that wait here for the store.
+    /// Number of transactions of all hosts that wait at this host for the store.
     pub open_parts: u64,
-    /// Milliseconds for which the oldest of them has waited.
+    /// Milliseconds for which the oldest of these transactions has waited.
     pub oldest_part_ms: u64,
-    /// Escrow slots that this host owns.
+    /// Number of escrow slots that this host owns.
     pub escrow_slots: u64,
-    /// Escrow slots whose owner is known here.
+    /// Number of escrow slots whose owner this host knows.
     pub escrow_owned_slots: u64,
-    /// Tokens that this host has granted and no ledger has.
+    /// Number of tokens that this host has granted from its escrow slots and that no ledger
+    /// contains yet.
     pub escrow_outstanding_tokens: u64,
-    /// Milliseconds for which this host grants nothing.
+    /// Remaining milliseconds for which this host grants no tokens from its escrow slots.
     pub escrow_held_off_ms: u64,
-    /// Milliseconds since the store had no newer routes.
+    /// Milliseconds since the store is known to have had no newer routes.
     pub routes_age_ms: u64,
-    /// Milliseconds since the store had no newer entries of endpoints.
+    /// Milliseconds since the store is known to have had no newer entries of endpoints.
     pub endpoints_age_ms: u64,
-    /// 1 while this host follows another one.
+    /// 1 while this host follows another host, 0 while it reads the store.
     pub follower: u64,
 }
 
-/// The metrics of a process.
+/// The metrics of a gateway process.
 #[derive(Debug)]
 pub struct Metrics {
     registry: Registry,
     requests: Family<RequestLabel, Counter>,
     refusals: Family<ReasonLabel, Counter>,
-    budget_refusals: Family<FilledLabel, Counter>,
+    budget_refusals: Family<FilledByLabel, Counter>,
     escrow_replies: Family<ReasonLabel, Counter>,
     endpoint_failures: Family<ReasonLabel, Counter>,
     resumptions: Family<ReasonLabel, Counter>,
@@ -220,7 +222,8 @@
         let help = "Entries of the table of endpoints that began to name none, by reason";
         registry.register("refused_entries", help, refused_entries.clone());
         let mut histogram = |name: &str, help: &str| {
-            let histogram = Histogram::new(exponential_buckets(FIRST_BOUND_SECONDS, 2.0, BOUNDS));
+            let histogram =
+                Histogram::new(exponential_buckets(MIN_BUCKET_SECONDS, 2.0, BUCKET_COUNT));
             registry.register_with_unit(name, help, Unit::Seconds, histogram.clone());
             histogram
         };
@@ -316,7 +319,7 @@
 }
 
 impl Metrics {
-    /// Counts a request that an endpoint answered, or that ended otherwise.
+    /// Counts a request that ended, by its outcome.
     pub fn count_request(&self, kind: RouteKind, outcome: &'static str) {
         let kind = match kind {
             RouteKind::Idempotent => "idempotent",
@@ -328,34 +331,34 @@
             .inc();
     }
 
-    /// Counts a request that no endpoint answered.
+    /// Counts a request that was refused, so that no endpoint answered it.
     pub fn count_refusal(&self, reason: &'static str) {
         self.refusals.get_or_create(&ReasonLabel { reason }).inc();
     }
 
-    /// Counts a turn that its program's budget does not hold.
+    /// Counts a turn that was refused because it does not fit into its program's budget.
     pub fn count_budget_refusal(&self, filled_by: FilledBy) {
         let filled_by = filled_by.as_str();
         self.budget_refusals
-            .get_or_create(&FilledLabel { filled_by })
+            .get_or_create(&FilledByLabel { filled_by })
             .inc();
     }
 
-    /// Counts a reply to a turn that asked for a grant.
+    /// Counts a reply to a request for a grant of tokens from escrow.
     pub fn count_escrow_reply(&self, reason: &'static str) {
         self.escrow_replies
             .get_or_create(&ReasonLabel { reason })
             .inc();
     }
 
-    /// Counts a turn that was found to continue from.
+    /// Counts a preceding turn that was found, by the place where it was found.
     pub fn count_history_read(&self, place: &'static str) {
         self.history_reads
             .get_or_create(&PlaceLabel { place })
             .inc();
     }
 
-    /// Counts an exchange with an endpoint that failed.
+    /// Counts a failed exchange with an endpoint.
     pub fn count_failure(&self, failure: Failure) {
         let reason = failure.as_str();
         self.endpoint_failures
@@ -363,7 +366,7 @@
             .inc();
     }
 
-    /// Counts a stream that goes on at another endpoint.
+    /// Counts a stream that another endpoint resumes, by the failure that interrupted it.
     pub fn count_resumption(&self, failure: Failure) {
         let reason = failure.as_str();
         self.resumptions
@@ -371,7 +374,7 @@
             .inc();
     }
 
-    /// Counts a question what changed in a table.
+    /// Counts a request for the changes of a table.
     pub fn count_feed(&self, source: FeedSource) {
         let way = match source {
             FeedSource::Store => "store",
@@ -383,29 +386,29 @@
     /// Counts a transaction that is sent.
     pub fn count_commit(&self, way: CommitWay) {
         let way = match way {
-            CommitWay::Here => "here",
-            CommitWay::Gatherer => "gatherer",
+            CommitWay::Local => "here",
+            CommitWay::Batcher => "gatherer",
         };
         self.commits.get_or_create(&WayLabel { way }).inc();
     }
 
-    /// Counts a joined transaction that ended so many of its parts.
-    pub fn count_joined(&self, parts: usize) {
+    /// Counts a batched transaction that completed this number of batch entries.
+    pub fn count_batch(&self, entries: usize) {
         self.joined_transactions.inc();
-        self.joined_parts.inc_by(parts as u64);
+        self.joined_parts.inc_by(entries as u64);
     }
 
-    /// Counts another host's transaction that could not be read.
+    /// Counts a transaction of another host that could not be decoded.
     pub fn count_refused_commit(&self) {
         self.refused_commits.inc();
     }
 
-    /// Counts a connection to an endpoint.
+    /// Counts a connection that was opened to an endpoint.
     pub fn count_connection(&self) {
         self.new_connections.inc();
     }
 
-    /// Counts an entry that has begun to name no endpoint.
+    /// Counts an entry of the table of endpoints that has become invalid.
     pub fn count_refused_entry(&self, reason: &'static str) {
         self.refused_entries
             .get_or_create(&ReasonLabel { reason })
@@ -413,7 +416,7 @@
     }
 
     /// Counts and times a call to the store.
-    pub fn count_store_call(&self, call: StoreCall, error: Option<&StoreError>, took: Duration) {
+    pub fn count_store_call(&self, call: StoreCall, error: Option<&StoreError>, elapsed: Duration) {
         let outcome = match error {
             None => "done",
             Some(StoreError::Refused) => "refused",
@@ -425,10 +428,10 @@
         self.store_calls
             .get_or_create(&StoreLabel { call, outcome })
             .inc();
-        self.observe(Timing::StoreCall, took);
+        self.observe(Timing::StoreCall, elapsed);
     }
 
-    /// Adds a measured time.
+    /// Adds a measured time to its histogram.
     pub fn observe(&self, timing: Timing, time: Duration) {
         let histogram = match timing {
             Timing::Request => &self.request,
@@ -440,25 +443,25 @@
         histogram.observe(time.as_secs_f64());
     }
 
-    /// The page, in the OpenMetrics text format.
-    pub fn page(&self, now: &Quantities) -> String {
+    /// Sets the gauges and returns the metrics page in the OpenMetrics text format.
+    pub fn page(&self, current: &GaugeValues) -> String {
         let values = [
-            now.open_requests,
-            now.open_changes,
-            now.endpoints,
-            now.routes_version,
-            now.store_unreachable_ms,
-            now.ready,
-            now.peers,
-            now.open_parts,
-            now.oldest_part_ms,
-            now.escrow_slots,
-            now.escrow_owned_slots,
-            now.escrow_outstanding_tokens,
-            now.escrow_held_off_ms,
-            now.routes_age_ms,
-            now.endpoints_age_ms,
-            now.follower,
+            current.open_requests,
+            current.open_changes,
+            current.endpoints,
+            current.routes_version,
+            current.store_unreachable_ms,
+            current.ready,
+            current.peers,
+            current.open_parts,
+            current.oldest_part_ms,
+            current.escrow_slots,
+            current.escrow_owned_slots,
+            current.escrow_outstanding_tokens,
+            current.escrow_held_off_ms,
+            current.routes_age_ms,
+            current.endpoints_age_ms,
+            current.follower,
         ];
         for (gauge, value) in self.gauges.iter().zip(values) {
             gauge.set(i64::try_from(value).unwrap_or(i64::MAX));
--- a/gateway/src/runs.rs
+++ b/gateway/src/runs.rs
@@ -21,7 +21,7 @@
 
 use crate::call::Call;
 use crate::exchange::{Exchange, Exchanged};
-use crate::gateway::{AtEndpoint, Gateway};
+use crate::gateway::{Gateway, OpenEndpointRequest};
 use crate::reply::Refusal;
 
 /// Bytes of an answer; both parts are whole events where the stream may be
@@ -56,7 +56,7 @@
     /// Kept until the body was read whole.
     connection: Option<Connection>,
     header: AnswerHeader,
-    at: AtEndpoint,
+    at: OpenEndpointRequest,
     sent: Duration,
     has_begun: bool,
 }
--- a/gateway/src/spending.rs
+++ b/gateway/src/spending.rs
@@ -83,10 +83,10 @@
             grant: None,
             is_settled: false,
         };
-        if let Err(refusal) = gateway.reach(&program) {
+        if let Err(refusal) = gateway.check_reachable(&program) {
             match spending.take_grant(call, refusal).await {
                 Ok(()) => return Ok(spending),
-                Err(refusal) if gateway.reach(&program).is_err() => {
+                Err(refusal) if gateway.check_reachable(&program).is_err() => {
                     spending.is_settled = true;
                     return Err(refusal);
                 }
@@ -357,7 +357,7 @@
 
 /// Ends once the store is in reach for a program.
 async fn until_reachable(gateway: &Gateway, program: &str) {
-    while gateway.reach(program).is_err() {
+    while gateway.check_reachable(program).is_err() {
         tokio::time::sleep(REACH_POLL).await;
     }
 }
@@ -366,7 +366,7 @@
 async fn until_unreachable(gateway: &Gateway, program: &str) -> Refusal {
     loop {
         tokio::time::sleep(REACH_POLL).await;
-        if let Err(refusal) = gateway.reach(program) {
+        if let Err(refusal) = gateway.check_reachable(program) {
             return refusal;
         }
     }
--- a/gateway/src/turn.rs
+++ b/gateway/src/turn.rs
@@ -100,7 +100,7 @@
     if call.body.len() > MAX_INPUT_BYTES {
         return Err(Refusal::BodyTooLarge);
     }
-    gateway.reach(&program.program)?;
+    gateway.check_reachable(&program.program)?;
     let previous = programs::previous_turn(gateway, call, &program).await?;
     Ok(Some(Record {
         program,
--- a/gateway/src/watch.rs
+++ b/gateway/src/watch.rs
@@ -40,7 +40,7 @@
     match deployment::decode(value) {
         Ok(deployment) => {
             let version = deployment.version;
-            if gateway.put_in_force(RouteTable::new(deployment)) {
+            if gateway.apply_routes(RouteTable::new(deployment)) {
                 log_event(&Event::new(EventKind::RoutesInForce).version(version));
                 entries::note_undeclared(gateway);
             }
@@ -90,7 +90,7 @@
             let event = Event::new(EventKind::EndpointWithdrawn).reason("lapsed");
             log_event(&event.endpoint(&instance));
         }
-        gateway.note_readiness();
+        gateway.update_readiness();
         gateway.crashes.borrow_mut().expire(now);
         let directory = gateway.directory.borrow();
         let mut pool = gateway.pool.borrow_mut();
