--- a/gateway/src/main.rs
+++ b/gateway/src/main.rs
@@ -1,4 +1,4 @@
-//! `rosebend-gateway`: see the library's page for what it is made of.
+//! The command `rosebend-gateway`. The documentation of the library describes its modules.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -21,7 +21,7 @@
 Example:
     rosebend-gateway --config examples/gateway.ini --check";
 
-/// Exit code for a wrong command line or settings that are not accepted.
+/// Exit code for an invalid command line or invalid settings.
 const USAGE_EXIT: u8 = 2;
 
 fn main() -> ExitCode {
@@ -42,7 +42,8 @@
         return ExitCode::SUCCESS;
     }
     let Some(path) = settings_path(matches) else {
-        let error = format!("--config FILE is wanted, or --platform with {SETTINGS_VARIABLE} set");
+        let error =
+            format!("--config FILE is required, or --platform with {SETTINGS_VARIABLE} set");
         return usage(options, &error);
     };
     let settings: GatewaySettings = match load_settings(&path) {
--- a/gateway/src/process.rs
+++ b/gateway/src/process.rs
@@ -1,4 +1,4 @@
-//! Starts the process and stops it.
+//! The start and the planned stop of the process.
 
 use std::io;
 use std::path::PathBuf;
@@ -14,41 +14,41 @@
 use crate::gateway::Gateway;
 use crate::{escrow, front, gossip, limits, peers, quarantine, reload, retention, watch as follow};
 
-/// How long after the signal to stop new connections are still accepted: the
-/// balancer asks once a second and takes a host out after two misses.
-const ACCEPT_AFTER_SIGNAL: Duration = Duration::from_millis(3_300);
-/// Time before the end by force at which the process ends by itself.
-const END_MARGIN: Duration = Duration::from_millis(500);
-/// How long the row among the peers may take to go at the end of a stop.
-const LEAVE_TIMEOUT: Duration = Duration::from_millis(250);
-/// How often a stopping process looks whether requests are open.
-const STOP_POLL: Duration = Duration::from_millis(50);
-/// How long all must be quiet before a stopping process ends: what a caller
-/// has sent may not have been read yet.
-const QUIET_TIME: Duration = Duration::from_millis(300);
+/// Time after the signal to stop for which new connections are still accepted. The balancer
+/// probes once a second and removes a host after two failed probes.
+const ACCEPT_TIME: Duration = Duration::from_millis(3_300);
+/// Margin between the exit of a stopping process and the time at which it would be killed.
+const EXIT_MARGIN: Duration = Duration::from_millis(500);
+/// Timeout at the end of a stop for each of the last writes: the release of escrow slots
+/// and the deletion of the row in the table of gateways.
+const FINAL_WRITE_TIMEOUT: Duration = Duration::from_millis(250);
+/// Interval at which a stopping process checks for open requests.
+const STOP_POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// Time without open requests or changes after which a stopping process ends. A request that
+/// a caller has already sent may not have been read yet.
+const IDLE_TIME: Duration = Duration::from_millis(300);
 
-/// Why a process failed.
+/// The reason for which the process failed.
 #[derive(Debug, thiserror::Error)]
 pub enum ProcessError {
-    /// An address could not be listened on.
+    /// The process could not listen on an address.
     #[error("cannot listen on {address}: {error}")]
     Listen {
         /// The address.
         address: std::net::SocketAddr,
-        /// What the system said.
+        /// The error of the operating system.
         error: io::Error,
     },
-    /// A signal could not be watched.
-    #[error("cannot watch signals: {0}")]
+    /// The handler of a signal could not be installed.
+    #[error("cannot install a signal handler: {0}")]
     Signal(io::Error),
 }
 
-/// Runs a gateway until it is asked to stop, and follows the file of its
-/// settings.
+/// Runs a gateway until it receives SIGTERM, and applies changes of its settings file.
 ///
 /// # Errors
 ///
-/// Fails when an address cannot be listened on.
+/// Fails if the process cannot listen on one of its addresses or install a signal handler.
 pub fn run(settings: GatewaySettings, path: PathBuf) -> Result<(), ProcessError> {
     actix_rt::System::new().block_on(run_until_stopped(settings, path))
 }
@@ -71,15 +71,15 @@
     actix_rt::spawn(follow::tidy(Rc::clone(&gateway)));
     actix_rt::spawn(front::serve_peers(Rc::clone(&gateway), relay));
     actix_rt::spawn(peers::follow(Rc::clone(&gateway), relay_address));
-    let datagrams = UdpSocket::bind(relay_address).await;
-    let datagrams = datagrams.map_err(|error| ProcessError::Listen {
+    let socket = UdpSocket::bind(relay_address).await;
+    let socket = socket.map_err(|error| ProcessError::Listen {
         address: relay_address,
         error,
     })?;
-    let datagrams = Rc::new(datagrams);
-    gateway.limits.set_socket(Rc::clone(&datagrams));
-    gateway.escrow.set_socket(Rc::clone(&datagrams));
-    actix_rt::spawn(gossip::run(Rc::clone(&gateway), datagrams));
+    let socket = Rc::new(socket);
+    gateway.limits.set_socket(Rc::clone(&socket));
+    gateway.escrow.set_socket(Rc::clone(&socket));
+    actix_rt::spawn(gossip::run(Rc::clone(&gateway), socket));
     actix_rt::spawn(limits::run(Rc::clone(&gateway)));
     actix_rt::spawn(escrow::run(Rc::clone(&gateway)));
     actix_rt::spawn(peers::probe(Rc::clone(&gateway)));
@@ -92,53 +92,58 @@
     Ok(())
 }
 
-/// Listens on an address and tells it: port 0 takes a free one.
-fn listen(address: std::net::SocketAddr, whom: &'static str) -> Result<TcpListener, ProcessError> {
+/// Listens on an address and logs it. For port 0 the system selects a free port, which is
+/// only known from the log.
+fn listen(
+    address: std::net::SocketAddr,
+    purpose: &'static str,
+) -> Result<TcpListener, ProcessError> {
     let listener = front::listen(address);
     let listener = listener.map_err(|error| ProcessError::Listen { address, error })?;
     if let Ok(address) = listener.local_addr() {
         log_event(
             &Event::new(EventKind::Listening)
                 .address(address)
-                .reason(whom),
+                .reason(purpose),
         );
     }
     Ok(listener)
 }
 
-/// Lets open requests end, and ends before it is made to.
+/// Stops the process: waits for open requests to end, gives up the escrow slots and deletes
+/// the row in the table of gateways. It ends before the platform would kill the process.
 async fn stop(gateway: &Gateway, close: &watch::Sender<bool>) {
     gateway.stop();
-    let grace = gateway.settings().stop_grace.saturating_sub(END_MARGIN);
-    let end = gateway.clock.now() + grace;
+    let grace = gateway.settings().stop_grace.saturating_sub(EXIT_MARGIN);
+    let deadline = gateway.clock.now() + grace;
     let open = gateway.open_requests();
     log_event(&Event::new(EventKind::ProcessStopping).count(open));
     gateway.commits.send_all_put_off();
     escrow::giving_up::begin(gateway);
     release_slots(gateway).await;
-    tokio::time::sleep(ACCEPT_AFTER_SIGNAL.min(grace)).await;
+    tokio::time::sleep(ACCEPT_TIME.min(grace)).await;
     close.send_replace(true);
-    let mut quiet_since = gateway.clock.now();
-    while gateway.clock.now() < end {
-        tokio::time::sleep(STOP_POLL).await;
+    let mut idle_since = gateway.clock.now();
+    while gateway.clock.now() < deadline {
+        tokio::time::sleep(STOP_POLL_INTERVAL).await;
         release_slots(gateway).await;
         if gateway.open_requests() > 0 || gateway.commits.open_changes() > 0 {
-            quiet_since = gateway.clock.now();
+            idle_since = gateway.clock.now();
         }
-        if gateway.clock.now().saturating_sub(quiet_since) > QUIET_TIME {
+        if gateway.clock.now().saturating_sub(idle_since) > IDLE_TIME {
             break;
         }
     }
     if !gateway.store.is_reachable() {
-        let left = end.saturating_sub(gateway.clock.now());
-        tokio::time::sleep(escrow::giving_up::hand_over_wait(gateway).min(left)).await;
+        let remaining = deadline.saturating_sub(gateway.clock.now());
+        tokio::time::sleep(escrow::giving_up::hand_over_wait(gateway).min(remaining)).await;
     }
-    // Until here peers could ask what its turns still hold. A row that stays costs a
-    // peer one call that is refused, and slots that are not given up in time stay with
-    // a run that is gone.
+    // Before this, peers could request the reservations of this process's turns. A row that
+    // is not deleted in time costs a peer one refused call, and slots that are not given up
+    // in time remain assigned to a process that has ended.
     let _ = tokio::join!(
-        tokio::time::timeout(LEAVE_TIMEOUT, give_up_slots(gateway)),
-        tokio::time::timeout(LEAVE_TIMEOUT, peers::leave(gateway)),
+        tokio::time::timeout(FINAL_WRITE_TIMEOUT, give_up_slots(gateway)),
+        tokio::time::timeout(FINAL_WRITE_TIMEOUT, peers::leave(gateway)),
     );
 
     let kind = match gateway.open_requests() {
@@ -148,17 +153,19 @@
     log_event(&Event::new(kind).count(gateway.open_requests()));
 }
 
-/// Gives up slots by their rows, as soon as the store answers: a process that stops may be
-/// killed.
+/// Releases escrow slots in the store as soon as it is reachable, because a stopping process
+/// may be killed before its end.
 async fn release_slots(gateway: &Gateway) {
     if gateway.store.is_reachable() && gateway.escrow.has_slots_to_give_up() {
-        // What is not written in time is tried again.
-        let _ = tokio::time::timeout(LEAVE_TIMEOUT, escrow::giving_up::release(gateway)).await;
+        // If the write times out, the next call repeats it.
+        let _ =
+            tokio::time::timeout(FINAL_WRITE_TIMEOUT, escrow::giving_up::release(gateway)).await;
     }
 }
 
-/// Gives up slots that were kept at the signal, since the store was unavailable, or
-/// that came since.
+/// Releases the remaining escrow slots in the store. While the store is unreachable, hands
+/// them over to other hosts by messages if the hold-off of this host is over. Slots remain
+/// if the store was unavailable at the signal, or if this host received them later.
 async fn give_up_slots(gateway: &Gateway) {
     match gateway.store.is_reachable() {
         true => escrow::giving_up::release(gateway).await,
--- a/gateway/src/reload.rs
+++ b/gateway/src/reload.rs
@@ -1,9 +1,10 @@
-//! Takes in settings that change while the process runs.
+//! Applies changes of the settings file while the process runs.
 //!
-//! The platform may write the file with a signal or without one. What a process
-//! listens on and what it is called stays until its next start; all else is in
-//! force for requests that begin afterwards. A file that is not accepted changes
-//! nothing.
+//! The platform may change the file with or without sending a signal, so the file is also
+//! polled. The settings of the store, the stop, the retention and the customers apply to
+//! requests that begin after the change. All others, such as the listen addresses and the
+//! names of the process, take effect only at its next start. A file that is not valid
+//! changes nothing.
 
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
@@ -16,55 +17,56 @@
 
 use crate::gateway::Gateway;
 
-/// Time between two looks at a file that changed without a signal. A gateway
-/// that does nothing else takes 0.25 % of a core with these looks
-/// (`cargo bench -p rosebend-gateway --bench cost`).
-const LOOK_INTERVAL: Duration = Duration::from_secs(2);
+/// Interval between two polls of the file. An otherwise idle gateway spends 0.25 % of a core
+/// on these polls.
+const POLL_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Follows the settings file, for ever.
+/// Reads the settings file after each signal and each [`POLL_INTERVAL`], forever.
 pub async fn follow(gateway: Rc<Gateway>, path: PathBuf, mut hangup: Signal) {
-    let mut file = FollowedFile {
+    let mut file = PolledFile {
         path,
-        taken: GatewaySettings::clone(&gateway.settings()),
-        refused: None,
+        accepted: GatewaySettings::clone(&gateway.settings()),
+        last_error: None,
     };
     loop {
         tokio::select! {
             _ = hangup.recv() => log_event(&Event::new(EventKind::ReloadAsked)),
-            () = tokio::time::sleep(LOOK_INTERVAL) => {}
+            () = tokio::time::sleep(POLL_INTERVAL) => {}
         }
-        file.look(&gateway);
+        file.poll(&gateway);
     }
 }
 
-/// The settings file as it was seen last.
+/// The settings file and the result of its last polls.
 #[derive(Debug)]
-struct FollowedFile {
+struct PolledFile {
     path: PathBuf,
-    /// What it held when it was last accepted.
-    taken: GatewaySettings,
-    /// Why it was not accepted, so that this is logged once.
-    refused: Option<String>,
+    /// The settings that the file contained when it was last valid.
+    accepted: GatewaySettings,
+    /// The error of the last poll if the file was not valid. Each error is logged once.
+    last_error: Option<String>,
 }
 
-impl FollowedFile {
-    fn look(&mut self, gateway: &Gateway) {
+impl PolledFile {
+    /// Reads the file and applies the settings if they have changed.
+    fn poll(&mut self, gateway: &Gateway) {
         match read(&self.path) {
-            Ok(settings) if settings == self.taken => self.refused = None,
+            Ok(settings) if settings == self.accepted => self.last_error = None,
             Ok(settings) => {
-                self.refused = None;
-                take(gateway, &settings);
-                self.taken = settings;
+                self.last_error = None;
+                apply(gateway, &settings);
+                self.accepted = settings;
             }
-            Err(error) => self.refuse(&error),
+            Err(error) => self.record_error(&error),
         }
     }
 
-    fn refuse(&mut self, error: &SettingsFileError) {
+    /// Logs an error unless it was already logged for the previous poll.
+    fn record_error(&mut self, error: &SettingsFileError) {
         let text = error.to_string();
-        if self.refused.as_ref() != Some(&text) {
+        if self.last_error.as_ref() != Some(&text) {
             log_event(&Event::new(EventKind::SettingsRefused).error(error));
-            self.refused = Some(text);
+            self.last_error = Some(text);
         }
     }
 }
@@ -73,8 +75,8 @@
     load_settings(path)
 }
 
-/// Puts in force what can change in a running process.
-fn take(gateway: &Gateway, settings: &GatewaySettings) {
+/// Applies the settings that can change in a running process.
+fn apply(gateway: &Gateway, settings: &GatewaySettings) {
     let current = gateway.settings();
     let next = GatewaySettings {
         store: settings.store,
@@ -83,10 +85,10 @@
         customers: settings.customers,
         ..GatewaySettings::clone(&current)
     };
-    let reach = match next == *settings {
+    let scope = match next == *settings {
         true => "all",
         false => "all but what needs a start",
     };
     gateway.set_settings(next);
-    log_event(&Event::new(EventKind::SettingsTaken).reason(reach));
+    log_event(&Event::new(EventKind::SettingsTaken).reason(scope));
 }
