--- a/gateway/src/lib.rs
+++ b/gateway/src/lib.rs
@@ -1,22 +1,21 @@
-//! The gateway process: it takes callers' requests, sends each to an endpoint,
-//! and keeps the programs' turns in the platform's store.
+//! The gateway process: it accepts the requests of callers, forwards each to an
+//! endpoint, and stores the turns of programs in the platform's store.
 //!
-//! | what | where |
+//! | responsibility | modules |
 //! |---|---|
-//! | a request, step by step | [`front`], [`dispatch`], [`intake`], [`plain`] or [`turn`], [`exchange`], [`pool`]; all work on a [`call`] |
-//! | a turn's budget, and its answer on the way | [`spending`], [`escrow`], [`recall`], [`holders`], [`turn_stream`], [`runs`] |
-//! | whose a request is, and how much its customer may send | [`intake`], [`limits`] |
-//! | what lasts | [`commits`], [`joined_commits`], [`programs`], [`recent_history`], [`retention`] |
-//! | what the process believes of routes and endpoints | [`watch`], [`unusable`], [`entries`], [`gossip`], [`quarantine`] |
-//! | from whom it learns what changes in the store's tables | [`feeds`] |
-//! | calls to the store by other gateways, and questions to them | [`peers`], [`peer_connections`] |
-//! | what is written and counted | [`trail`], [`metrics`] |
-//! | start, stop and changed settings | [`process`], [`reload`] |
+//! | the steps of a request | [`front`], [`dispatch`], [`intake`], [`plain`] or [`turn`], [`exchange`], [`pool`]; all of them use a [`call`] |
+//! | the budget of a turn, and its streamed answer | [`spending`], [`escrow`], [`recall`], [`holders`], [`turn_stream`], [`runs`] |
+//! | the customer of a request, and the customer's limits | [`intake`], [`limits`] |
+//! | durable state | [`commits`], [`joined_commits`], [`programs`], [`recent_history`], [`retention`] |
+//! | the process's view of routes and endpoints | [`watch`], [`unusable`], [`entries`], [`gossip`], [`quarantine`] |
+//! | the subscriptions to changes of the store's tables | [`feeds`] |
+//! | calls to the store on behalf of other gateways, and requests to other gateways | [`peers`], [`peer_connections`] |
+//! | the log of requests, and the metrics | [`trail`], [`metrics`] |
+//! | start, stop and changes of settings | [`process`], [`reload`] |
 //!
-//! [`gateway`] is the state that they share. The decisions themselves are in
-//! `rosebend_coordination::gateway`, the names of the wire in
-//! `rosebend_platform`, connections and the client of the store in
-//! `rosebend_transport`.
+//! These modules share the state in [`gateway`]. The decisions are in
+//! `rosebend_coordination::gateway`, the names used on the wire in `rosebend_platform`,
+//! and the connections and the client of the store in `rosebend_transport`.
 
 pub mod call;
 pub mod commits;
