--- a/gateway/tests/following.rs
+++ b/gateway/tests/following.rs
@@ -1,5 +1,5 @@
-//! Hosts of one availability zone learn what changes in the store's tables from each
-//! other; two of them read the store.
+//! Tests of the feeds: two hosts of an availability zone read the store's tables, and the
+//! other hosts receive the changes from them.
 
 mod support;
 
@@ -18,7 +18,8 @@
 const HOSTS: usize = 5;
 const READERS: usize = 2;
 
-async fn fleet(site: &Site) -> Vec<Gateway> {
+/// Starts the gateways and waits until two of them read the store.
+async fn start_gateways(site: &Site) -> Vec<Gateway> {
     let gateways: Vec<Gateway> = (0..HOSTS).map(|_| site.gateway()).collect();
     for gateway in &gateways {
         gateway.until_ready().await;
@@ -33,7 +34,7 @@
     gateways
 }
 
-/// The hosts that follow others.
+/// Returns the indexes of the hosts that follow other hosts.
 async fn followers(gateways: &[Gateway]) -> Vec<usize> {
     let mut followers = Vec::new();
     for (index, gateway) in gateways.iter().enumerate() {
@@ -44,6 +45,7 @@
     followers
 }
 
+/// Returns the indexes of the hosts that read the store.
 async fn readers(gateways: &[Gateway]) -> Vec<usize> {
     let followers = followers(gateways).await;
     (0..HOSTS)
@@ -51,8 +53,8 @@
         .collect()
 }
 
-async fn until_in_force(gateway: &Gateway, version: u64) {
-    until("the version is in force", async || {
+async fn until_routes_version(gateway: &Gateway, version: u64) {
+    until("the routes have the version", async || {
         gateway.metric("routes_version").await == version
     })
     .await;
@@ -65,9 +67,9 @@
 }
 
 #[actix_rt::test]
-async fn what_changes_reaches_hosts_that_do_not_read_the_store() {
+async fn changes_reach_hosts_that_do_not_read_the_store() {
     let site = Site::start();
-    let gateways = fleet(&site).await;
+    let gateways = start_gateways(&site).await;
     let followers = followers(&gateways).await;
     let mut calls = Vec::new();
     for index in &followers {
@@ -76,8 +78,8 @@
     site.declare(7);
     site.announce(0, "draining");
     for gateway in &gateways {
-        until_in_force(gateway, 7).await;
-        until("the endpoint drains", async || {
+        until_routes_version(gateway, 7).await;
+        until("the endpoint is withdrawn as draining", async || {
             let events = gateway.events("endpoint-withdrawn");
             events.iter().any(|event| event["reason"] == "draining")
         })
@@ -89,9 +91,9 @@
 }
 
 #[actix_rt::test]
-async fn a_follower_knows_how_old_its_routes_are() {
+async fn routes_of_a_follower_stay_current() {
     let site = Site::start();
-    let gateways = fleet(&site).await;
+    let gateways = start_gateways(&site).await;
     actix_rt::time::sleep(Duration::from_secs(3)).await;
     for index in followers(&gateways).await {
         let age_ms = gateways[index].metric("routes_age_ms").await;
@@ -100,9 +102,9 @@
 }
 
 #[actix_rt::test]
-async fn routes_reach_all_when_the_readers_are_killed() {
+async fn routes_reach_the_followers_after_the_readers_are_killed() {
     let site = Site::start();
-    let mut gateways = fleet(&site).await;
+    let mut gateways = start_gateways(&site).await;
     let readers = readers(&gateways).await;
     for index in &readers {
         gateways[*index].kill();
@@ -110,15 +112,15 @@
     site.declare(8);
     for (index, gateway) in gateways.iter().enumerate() {
         if !readers.contains(&index) {
-            until_in_force(gateway, 8).await;
+            until_routes_version(gateway, 8).await;
         }
     }
 }
 
 #[actix_rt::test]
-async fn routes_reach_all_when_the_readers_stand_still() {
+async fn routes_reach_the_followers_while_the_readers_are_suspended() {
     let site = Site::start();
-    let gateways = fleet(&site).await;
+    let gateways = start_gateways(&site).await;
     let readers = readers(&gateways).await;
     for index in &readers {
         gateways[*index].signal("STOP");
@@ -126,23 +128,23 @@
     site.declare(9);
     for (index, gateway) in gateways.iter().enumerate() {
         if !readers.contains(&index) {
-            until_in_force(gateway, 9).await;
+            until_routes_version(gateway, 9).await;
         }
     }
-    // They know nothing newer than others when they go on.
+    // When the readers resume, their cached tables are older than those of their followers.
     site.declare(10);
     for index in &readers {
         gateways[*index].signal("CONT");
     }
     for gateway in &gateways {
-        until_in_force(gateway, 10).await;
+        until_routes_version(gateway, 10).await;
     }
 }
 
 #[actix_rt::test]
-async fn followers_are_not_ready_in_an_outage_and_come_back() {
+async fn followers_are_not_ready_during_an_outage_and_recover() {
     let site = Site::start();
-    let gateways = fleet(&site).await;
+    let gateways = start_gateways(&site).await;
     site.faults(&StoreFaults::refusing()).await;
     for gateway in &gateways {
         gateway.until_unready().await;
@@ -151,14 +153,14 @@
     site.declare(11);
     for gateway in &gateways {
         gateway.until_ready().await;
-        until_in_force(gateway, 11).await;
+        until_routes_version(gateway, 11).await;
     }
     let answer = Ask::turn("t1", "p1", "x").send(gateways[0].front).await;
     assert_eq!(answer.status, 200);
 }
 
-/// The pattern of a start of the whole fleet: every host writes its row in the same
-/// second, and a partition of the store takes 150 transactions in one.
+/// When all hosts start at once, each of them writes its row in the same second, and a
+/// partition of the store accepts 150 transactions per second.
 #[test]
 fn rows_of_hosts_that_start_together_are_spread_over_partitions() {
     let mut rows = HashMap::<String, usize>::new();
@@ -174,26 +176,31 @@
 }
 
 #[actix_rt::test]
-async fn a_host_that_starts_tells_of_many_endpoints_in_few_lines() {
+async fn a_starting_host_logs_many_endpoints_in_few_events() {
     let site = Site::start();
     let address = "127.0.0.1:9".parse().unwrap();
     for number in 0..100 {
         site.announce_at(&format!("i-more-{number}"), "desk", address);
     }
     let gateway = site.ready_gateway().await;
-    until("all endpoints are told", async || {
+    until("all endpoints are logged", async || {
         let lines = gateway.events("endpoint-listed");
-        let told = lines.iter().map(|line| line["count"].as_u64().unwrap_or(1));
-        told.sum::<u64>() == 102
+        let counts = lines.iter().map(|line| line["count"].as_u64().unwrap_or(1));
+        counts.sum::<u64>() == 102
     })
     .await;
     let lines = gateway.events("endpoint-listed").len();
-    assert!(lines <= 17, "{lines} lines");
+    assert!(lines <= 17, "{lines} events");
 }
 
-/// Asks a host what is new, as one of another run or of its own.
-async fn ask(relay: SocketAddr, asked_run: &str, table: &str) -> Result<usize, PeerError> {
-    let question = encode_request(&FollowRequest {
+/// Requests a whole table from a host as a follower does, addressed to the process
+/// `asked_run`. Returns the number of rows.
+async fn request_table(
+    relay: SocketAddr,
+    asked_run: &str,
+    table: &str,
+) -> Result<usize, PeerError> {
+    let request = encode_request(&FollowRequest {
         asked_run: asked_run.to_owned(),
         table: table.to_owned(),
         after: None,
@@ -203,26 +210,26 @@
     let connections = PeerConnections::default();
     let accepted = Cell::new(false);
     let answer = connections
-        .ask(relay, "/peer/follow", question, &accepted)
+        .ask(relay, "/peer/follow", request, &accepted)
         .await?;
     Ok(decode_answer(table, &answer).unwrap().rows.len())
 }
 
 #[actix_rt::test]
-async fn a_question_for_another_process_or_another_table_is_refused() {
+async fn a_request_for_another_process_or_an_unknown_table_is_refused() {
     let (_site, gateway) = Site::start_with_gateway().await;
-    let refused = ask(gateway.relay, "gateway-0/another", "servers").await;
+    let refused = request_table(gateway.relay, "gateway-0/another", "servers").await;
     assert!(
         matches!(refused, Err(PeerError::Refused(400))),
         "{refused:?}"
     );
-    let refused = ask(gateway.relay, "", "programs").await;
+    let refused = request_table(gateway.relay, "", "programs").await;
     assert!(
         matches!(refused, Err(PeerError::Refused(400))),
         "{refused:?}"
     );
-    // Lines of the log come after the answers.
-    until("both refusals are told", async || {
+    // Events may be logged after the answers were sent.
+    until("both refusals are logged", async || {
         gateway.events("peer-refused").len() == 2
     })
     .await;
--- a/gateway/tests/lifecycle.rs
+++ b/gateway/tests/lifecycle.rs
@@ -1,4 +1,4 @@
-//! Routes that come and change, planned stops, and the log and metrics.
+//! Tests of changes of routes and settings, of planned stops, and of the log and metrics.
 
 mod support;
 
@@ -12,14 +12,14 @@
 
 const MODELS: usize = 0;
 
-/// Milliseconds since 1970.
+/// Returns the time of day in milliseconds since 1970.
 fn unix_ms() -> u64 {
     let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap();
     u64::try_from(now.as_millis()).unwrap()
 }
 
 #[actix_rt::test]
-async fn before_the_routes_are_known_nothing_is_denied() {
+async fn requests_are_unavailable_rather_than_denied_before_the_first_routes() {
     let site = Site::without_routes();
     let gateway = site.gateway();
     let answer = Ask::lookup("a1").send(gateway.front).await;
@@ -31,9 +31,9 @@
     assert_eq!(answer.status, 200);
 }
 
-/// When the log says that a host's readiness changed for a reason, in milliseconds since
-/// 1970.
-async fn change_of_readiness(gateway: &Gateway, reason: &str) -> u64 {
+/// Waits until the log contains a change of a host's readiness for a reason. Returns the
+/// time of the change in milliseconds since 1970.
+async fn readiness_change_ms(gateway: &Gateway, reason: &str) -> u64 {
     let change = || {
         let changes = gateway.events("ready-changed");
         let mut changes = changes.iter();
@@ -44,25 +44,26 @@
     change().unwrap()
 }
 
-/// A host may be ready for less time than passes between two looks of its own.
+/// The readiness may change more often than the host checks it on its own. Every state that
+/// a probe reports must have been logged first.
 #[actix_rt::test]
-async fn no_balancer_hears_of_a_readiness_that_the_log_does_not_tell() {
+async fn each_readiness_that_a_probe_reports_is_logged_first() {
     let (site, gateway) = Site::start_with_gateway().await;
-    let heard_at_ms = unix_ms();
-    assert!(change_of_readiness(&gateway, "ready").await <= heard_at_ms);
+    let probed_at_ms = unix_ms();
+    assert!(readiness_change_ms(&gateway, "ready").await <= probed_at_ms);
     site.faults(&StoreFaults::refusing()).await;
     gateway.until_unready().await;
-    let heard_at_ms = unix_ms();
-    assert!(change_of_readiness(&gateway, "store-unreachable").await <= heard_at_ms);
+    let probed_at_ms = unix_ms();
+    assert!(readiness_change_ms(&gateway, "store-unreachable").await <= probed_at_ms);
 }
 
 #[actix_rt::test]
-async fn a_new_version_takes_hold_and_an_old_one_never_comes_back() {
+async fn newer_routes_are_applied_and_older_routes_are_ignored() {
     let (site, gateway) = Site::start_with_gateway().await;
     let mut next = support::routes(7);
     next["routes"][1]["prefix"] = json!("/status/");
     site.store.put("op", "config", &next);
-    until("the new route serves", async || {
+    until("the new route is active", async || {
         let answer = Ask::get("/status/x")
             .attempt("a1")
             .send(gateway.front)
@@ -83,11 +84,11 @@
 }
 
 #[actix_rt::test]
-async fn a_change_arrives_after_the_history_is_gone() {
+async fn routes_are_updated_after_the_store_dropped_its_change_history() {
     let (site, gateway) = Site::start_with_gateway().await;
     site.store.forget_history();
     site.declare(9);
-    until("the version is in force", async || {
+    until("the routes have the version", async || {
         let events = gateway.events("routes-in-force");
         events.iter().any(|event| event["version"] == 9)
     })
@@ -95,7 +96,7 @@
 }
 
 #[actix_rt::test]
-async fn an_entry_that_lapsed_in_an_outage_is_kept_until_it_had_time_to_return() {
+async fn an_entry_that_lapsed_during_an_outage_is_kept_for_a_grace_period() {
     let (site, gateway) = Site::start_with_gateway().await;
     site.faults(&StoreFaults::refusing()).await;
     gateway.until_unready().await;
@@ -104,7 +105,7 @@
     gateway.until_ready().await;
     let answer = Ask::lookup("a1").send(gateway.front).await;
     assert_eq!(answer.status, 200);
-    until("the entry is given up", async || {
+    until("the endpoint is withdrawn as lapsed", async || {
         let events = gateway.events("endpoint-withdrawn");
         events.iter().any(|event| event["reason"] == "lapsed")
     })
@@ -114,7 +115,7 @@
 }
 
 #[actix_rt::test]
-async fn a_planned_stop_cuts_no_answer() {
+async fn a_planned_stop_completes_open_answers() {
     let site = Site::start();
     let mut gateway = site.ready_gateway().await;
     let slow = BackendFaults {
@@ -128,42 +129,42 @@
     until("the turn runs", async || site.times_run("t1").await == 1).await;
     gateway.signal("TERM");
     gateway.until_unready().await;
-    // The balancer may still send callers here.
-    let late = Ask::lookup("a1").send(gateway.front).await;
-    assert_eq!(late.status, 200);
+    // The balancer may still send requests to the stopping host.
+    let after_signal = Ask::lookup("a1").send(gateway.front).await;
+    assert_eq!(after_signal.status, 200);
     let answer = turn.await.unwrap();
     assert_eq!((answer.status, answer.is_whole), (200, true));
     assert_eq!(gateway.exit_code().await, Some(0));
 }
 
 #[actix_rt::test]
-async fn changed_settings_are_taken_in_with_a_signal_and_without_one() {
+async fn changed_settings_are_applied_with_and_without_a_signal() {
     let site = Site::start();
     let first = site.door.address().to_string();
-    let doors: Vec<_> = (0..2)
+    let servers: Vec<_> = (0..2)
         .map(|_| {
             let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
             site.store.open_door(listener).unwrap()
         })
         .collect();
-    let addresses: Vec<String> = doors
+    let addresses: Vec<String> = servers
         .iter()
-        .map(|door| door.address().to_string())
+        .map(|server| server.address().to_string())
         .collect();
     let gateway = site.ready_gateway().await;
-    // The store is at another address from now on.
+    // From here on, the store refuses calls at its first address and accepts them at others.
     site.faults(&StoreFaults::refusing()).await;
     gateway.until_unready().await;
     gateway.change_settings(&first, &addresses[0]);
     gateway.signal("HUP");
     gateway.until_ready().await;
-    until("the signal is told", async || {
+    until("the signal is logged", async || {
         gateway.events("reload-asked").len() == 1
     })
     .await;
 
     gateway.change_settings(&addresses[0], &addresses[1]);
-    until("the file is taken in", async || {
+    until("the settings are applied", async || {
         gateway.events("settings-taken").len() == 2
     })
     .await;
@@ -175,12 +176,12 @@
         "{reasons:?}"
     );
 
-    // What the process is called waits for its next start.
+    // The availability zone of the process takes effect only at its next start.
     gateway.change_settings(
         "availability_zone = newport-hall",
         "availability_zone = harbour",
     );
-    until("the rest is taken in", async || {
+    until("the other settings are applied", async || {
         let events = gateway.events("settings-taken");
         events
             .iter()
@@ -190,7 +191,7 @@
 }
 
 #[actix_rt::test]
-async fn settings_that_are_not_accepted_change_nothing_and_are_told_once() {
+async fn invalid_settings_change_nothing_and_are_logged_once() {
     let (_site, gateway) = Site::start_with_gateway().await;
     gateway.change_settings("stop_grace_s = 8", "stop_grace_s = soon");
     gateway.signal("HUP");
@@ -199,7 +200,7 @@
     })
     .await;
     gateway.signal("HUP");
-    until("the file was looked at again", async || {
+    until("the file is read again", async || {
         gateway.events("reload-asked").len() == 2
     })
     .await;
@@ -212,7 +213,7 @@
 }
 
 #[actix_rt::test]
-async fn requests_on_one_connection_are_answered_one_after_the_other() {
+async fn requests_on_one_connection_are_answered_in_order() {
     let (_site, gateway) = Site::start_with_gateway().await;
     let mut connection = Connection::open(gateway.front).await.unwrap();
     for number in 0..5 {
@@ -226,7 +227,7 @@
 }
 
 #[actix_rt::test]
-async fn a_log_that_nobody_reads_stops_no_request() {
+async fn requests_are_served_while_the_log_is_not_read() {
     let site = Site::start();
     let gateway = Gateway::start_reading(site.door.address(), false);
     gateway.until_ready().await;
@@ -242,7 +243,7 @@
 }
 
 #[actix_rt::test]
-async fn the_metrics_page_tells_requests_refusals_and_store_calls() {
+async fn the_metrics_page_counts_requests_refusals_and_store_calls() {
     let (site, gateway) = Site::start_with_gateway().await;
     Ask::turn("t1", "p1", "x").send(gateway.front).await;
     Ask::lookup("a1").send(gateway.front).await;
@@ -250,8 +251,9 @@
         .attempt("a2")
         .send(gateway.front)
         .await;
-    // One for the gateway's own row among its peers, two for the turn.
-    until("all is written", async || {
+    // The gateway writes its row in the table of gateways in one transaction and the turn in
+    // two.
+    until("all transactions are written", async || {
         site.store.stats().transactions == 3
     })
     .await;
@@ -264,6 +266,9 @@
         "rosebend_gateway_ready 1",
         "rosebend_gateway_routes_version 1",
     ] {
-        assert!(page.contains(line), "{line} is not on the page:\n{page}");
+        assert!(
+            page.contains(line),
+            "{line} is not on the metrics page:\n{page}"
+        );
     }
 }
