--- a/gateway/src/feeds/serve.rs
+++ b/gateway/src/feeds/serve.rs
@@ -49,7 +49,8 @@
 }
 
 /// Answers a request of a gateway that follows a table at this one. The head of the answer
-/// is sent at once, so that the follower can tell a slow answer from a host that is down.
+/// is sent at once, so that the follower can distinguish a delayed answer from a host that
+/// is down.
 pub fn answer(gateway: &Gateway, message: &[u8]) -> Response<BoxBody> {
     let (table, request) = match parse_request(message, gateway.commits.holder()) {
         Ok(parsed) => parsed,
--- a/gateway/src/gateway.rs
+++ b/gateway/src/gateway.rs
@@ -35,8 +35,8 @@
 use crate::retention::Retention;
 use crate::unusable;
 
-/// Maximum size of the cached turns in bytes. Most turns continue a cached turn and need
-/// no read from the store.
+/// Maximum size of the cached turns in bytes. It is large enough that most turns continue a
+/// cached turn, without a read from the store.
 const MAX_HISTORY_BYTES: usize = 24 << 20;
 
 /// Time for which the store may be unreachable before the host reports that it is not
--- a/gateway/src/process.rs
+++ b/gateway/src/process.rs
@@ -19,9 +19,9 @@
 const ACCEPT_TIME: Duration = Duration::from_millis(3_300);
 /// Margin between the exit of a stopping process and the time at which it would be killed.
 const EXIT_MARGIN: Duration = Duration::from_millis(500);
-/// Timeout at the end of a stop for each of the last writes: the release of escrow slots
-/// and the deletion of the row in the table of gateways.
-const FINAL_WRITE_TIMEOUT: Duration = Duration::from_millis(250);
+/// Timeout of each write by a stopping process: the release of escrow slots and the deletion
+/// of the row in the table of gateways.
+const STOP_WRITE_TIMEOUT: Duration = Duration::from_millis(250);
 /// Interval at which a stopping process checks for open requests.
 const STOP_POLL_INTERVAL: Duration = Duration::from_millis(50);
 /// Time without open requests or changes after which a stopping process ends. A request that
@@ -142,8 +142,8 @@
     // is not deleted in time costs a peer one refused call, and slots that are not given up
     // in time remain assigned to a process that has ended.
     let _ = tokio::join!(
-        tokio::time::timeout(FINAL_WRITE_TIMEOUT, give_up_slots(gateway)),
-        tokio::time::timeout(FINAL_WRITE_TIMEOUT, peers::leave(gateway)),
+        tokio::time::timeout(STOP_WRITE_TIMEOUT, give_up_slots(gateway)),
+        tokio::time::timeout(STOP_WRITE_TIMEOUT, peers::leave(gateway)),
     );
 
     let kind = match gateway.open_requests() {
@@ -158,8 +158,7 @@
 async fn release_slots(gateway: &Gateway) {
     if gateway.store.is_reachable() && gateway.escrow.has_slots_to_give_up() {
         // If the write times out, the next call repeats it.
-        let _ =
-            tokio::time::timeout(FINAL_WRITE_TIMEOUT, escrow::giving_up::release(gateway)).await;
+        let _ = tokio::time::timeout(STOP_WRITE_TIMEOUT, escrow::giving_up::release(gateway)).await;
     }
 }
 
--- a/gateway/src/reload.rs
+++ b/gateway/src/reload.rs
@@ -21,7 +21,7 @@
 /// on these polls.
 const POLL_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Reads the settings file after each signal and each [`POLL_INTERVAL`], forever.
+/// Applies the settings file when a signal arrives, and polls it otherwise, forever.
 pub async fn follow(gateway: Rc<Gateway>, path: PathBuf, mut hangup: Signal) {
     let mut file = PolledFile {
         path,
