--- a/gateway/src/batched_commits.rs
+++ b/gateway/src/batched_commits.rs
@@ -236,11 +236,11 @@
     ) -> Attempt<'a> {
         match path {
             CommitPath::Local => Box::pin(async {
-                self.metrics.count_commit(CommitWay::Here);
+                self.metrics.count_commit(CommitWay::Local);
                 AttemptResult::Ended(self.batch(transaction.clone()).await)
             }),
             CommitPath::Batcher(batcher) => Box::pin(async move {
-                self.metrics.count_commit(CommitWay::Gatherer);
+                self.metrics.count_commit(CommitWay::Batcher);
                 self.try_batcher(&batcher, transaction, &accepted).await
             }),
         }
@@ -408,7 +408,7 @@
             Some(overdue) => partition.group.record_overdue_answer(overdue, answer),
             None => partition.group.record_answer(answer),
         };
-        self.metrics.count_joined(ended.len());
+        self.metrics.count_batch(ended.len());
         partition.notify_waiters(ended, error);
         // Pending entries may have been blocked only by the rows of this batch.
         if partition.group.has_pending() {
--- a/gateway/src/batched_commits/ask.rs
+++ b/gateway/src/batched_commits/ask.rs
@@ -110,7 +110,7 @@
         let body = Bytes::from(encode_committed(&Committed::Refused));
         return Response::with_body(StatusCode::OK, body.boxed());
     }
-    let commits = Rc::clone(&gateway.joined_commits);
+    let commits = Rc::clone(&gateway.batched_commits);
     let store = Rc::clone(&gateway.store);
     let outcome = async move {
         let outcome = commits.batch(transaction).await;
--- a/gateway/src/entries.rs
+++ b/gateway/src/entries.rs
@@ -94,7 +94,7 @@
 /// Returns true if an entry that is missing now may have expired in an outage of the
 /// store.
 fn is_in_outage(gateway: &Gateway) -> bool {
-    let outage_age = gateway.feeds.store_away_ago();
+    let outage_age = gateway.feeds.time_since_store_unavailable();
     outage_age.is_some_and(|ago| ago < OUTAGE_LAPSE_WINDOW)
 }
 
--- a/gateway/src/exchange.rs
+++ b/gateway/src/exchange.rs
@@ -17,7 +17,7 @@
 use rosebend_transport::event::{Event, EventKind, log_event};
 
 use crate::call::Call;
-use crate::gateway::{AtEndpoint, Gateway};
+use crate::gateway::{Gateway, OpenEndpointRequest};
 use crate::quarantine;
 use crate::reply::Refusal;
 
@@ -31,7 +31,7 @@
     /// Connection that carries the body. Dropping it closes the connection.
     pub connection: Connection,
     /// Guard that counts the request as in flight at the endpoint.
-    pub in_flight: AtEndpoint,
+    pub in_flight: OpenEndpointRequest,
     /// Time at which the request was sent, since the start of the process.
     pub sent_at: Duration,
 }
@@ -200,7 +200,7 @@
     /// Sends the request to an endpoint and receives the head of the response
     /// within the time limit.
     async fn try_endpoint(&self, endpoint: &EndpointRecord) -> Result<EndpointResponse, Failure> {
-        let in_flight = self.gateway.begin_at(&endpoint.identity);
+        let in_flight = self.gateway.start_endpoint_request(&endpoint.identity);
         let remaining = self.call.remaining(self.gateway.clock.now());
         let exchanging = self.send_request(endpoint, in_flight);
         let timeout = self.timeout().unwrap_or(remaining);
@@ -216,7 +216,7 @@
     async fn send_request(
         &self,
         endpoint: &EndpointRecord,
-        in_flight: AtEndpoint,
+        in_flight: OpenEndpointRequest,
     ) -> Result<EndpointResponse, Failure> {
         let mut connection = self.connect(endpoint).await?;
         let sent_at = self.gateway.clock.now();
--- a/gateway/src/peers.rs
+++ b/gateway/src/peers.rs
@@ -23,7 +23,7 @@
 
 use self::row::{PeerRow, key};
 use self::table::PeerTable;
-use crate::feeds::{self, Followed, FollowedTable};
+use crate::feeds::{self, FollowedTable, TableUpdate};
 use crate::gateway::Gateway;
 use crate::{batched_commits, recall, recent_history};
 
@@ -79,7 +79,7 @@
 /// Returns the table from a host of this one's availability zone, or `None` if no such
 /// host answers. Otherwise, when many hosts start at once, each of them would read the
 /// whole table from the store.
-async fn fetch_from_zone(gateway: &Gateway) -> Option<Followed> {
+async fn fetch_from_zone(gateway: &Gateway) -> Option<TableUpdate> {
     let settings = gateway.settings();
     let range = RowRange::whole(TABLE, &row_id(&settings.host).partition);
     let rows = gateway.store.read_some(&range, BOOTSTRAP_ROWS).await.ok()?;
@@ -88,12 +88,12 @@
     let mut hosts = table.hosts_in_zone(&settings.availability_zone);
     hosts.retain(|host| host.host != settings.host);
     hosts.truncate(MAX_HOSTS_ASKED);
-    gateway.feeds.take_hosts_from(&hosts).await
+    gateway.feeds.request_hosts(&hosts).await
 }
 
 /// Applies changed rows to the table, and passes the new list of hosts to all modules that
 /// use it.
-fn apply(gateway: &Gateway, table: &mut PeerTable, followed: &Followed) {
+fn apply(gateway: &Gateway, table: &mut PeerTable, followed: &TableUpdate) {
     if followed.is_whole {
         table.clear();
     }
@@ -107,7 +107,7 @@
     gateway
         .store
         .set_peers(&table.relays_for(&key(&settings.host)));
-    gateway.joined_commits.set_hosts(table.hosts());
+    gateway.batched_commits.set_hosts(table.hosts());
     gateway.limits.set_hosts(table.hosts());
     gateway.holders.set_hosts(&table.hosts());
     let zone = table.hosts_in_zone(&settings.availability_zone);
@@ -182,7 +182,7 @@
         if gateway.store.is_direct_down() && gateway.feeds.should_probe() {
             gateway.store.probe(TABLE, "").await;
         }
-        gateway.feeds.note_store_state();
+        gateway.feeds.update_store_state();
     }
 }
 
--- a/gateway/src/retention.rs
+++ b/gateway/src/retention.rs
@@ -96,7 +96,7 @@
     let Some(transaction) = first_deletion(gateway, program) else {
         return;
     };
-    match gateway.joined_commits.transact(&transaction).await {
+    match gateway.batched_commits.transact(&transaction).await {
         Ok(Transacted::Applied(_)) => {
             gateway.commits.evict(program);
             delete_rest(gateway, program).await;
@@ -158,6 +158,6 @@
         };
         // Rows that remain after a failure only use storage. The client has already
         // logged the failure.
-        let _ = gateway.joined_commits.transact(&transaction).await;
+        let _ = gateway.batched_commits.transact(&transaction).await;
     }
 }
--- a/gateway/src/runs.rs
+++ b/gateway/src/runs.rs
@@ -22,7 +22,7 @@
 
 use crate::call::Call;
 use crate::exchange::{EndpointResponse, Exchange};
-use crate::gateway::{AtEndpoint, Gateway};
+use crate::gateway::{Gateway, OpenEndpointRequest};
 use crate::reply::Refusal;
 
 /// Bytes of an answer. If the stream may be resumed, both parts consist of complete
@@ -58,7 +58,7 @@
     /// Connection to the endpoint, until the body is complete or the run is stopped.
     connection: Option<Connection>,
     header: AnswerHeader,
-    at: AtEndpoint,
+    at: OpenEndpointRequest,
     sent: Duration,
     has_received_data: bool,
 }
--- a/gateway/src/turn.rs
+++ b/gateway/src/turn.rs
@@ -107,7 +107,7 @@
     if call.body.len() > MAX_INPUT_BYTES {
         return Err(Refusal::BodyTooLarge);
     }
-    gateway.reach(&program.program)?;
+    gateway.check_reachable(&program.program)?;
     let previous = programs::previous_turn(gateway, call, &program).await?;
     Ok(Some(Record {
         program,
--- a/gateway/src/watch.rs
+++ b/gateway/src/watch.rs
@@ -10,7 +10,7 @@
 use rosebend_transport::event::{Event, EventKind, log_event};
 
 use crate::entries;
-use crate::feeds::{Followed, FollowedTable};
+use crate::feeds::{FollowedTable, TableUpdate};
 use crate::gateway::Gateway;
 
 /// Delay before a table is read again after an error.
@@ -43,7 +43,7 @@
     match deployment::decode(value) {
         Ok(deployment) => {
             let version = deployment.version;
-            if gateway.put_in_force(RouteTable::new(deployment)) {
+            if gateway.apply_routes(RouteTable::new(deployment)) {
                 log_event(&Event::new(EventKind::RoutesInForce).version(version));
                 entries::report_undeclared(gateway);
             }
@@ -69,7 +69,7 @@
 }
 
 /// Applies changes of the endpoint table, or the complete table, to the directory.
-fn apply_endpoints(gateway: &Gateway, followed: &Followed) {
+fn apply_endpoints(gateway: &Gateway, followed: &TableUpdate) {
     match followed.is_whole {
         true => entries::apply_table(gateway, &followed.rows),
         false => {
@@ -96,7 +96,7 @@
             let event = Event::new(EventKind::EndpointWithdrawn).reason("lapsed");
             log_event(&event.endpoint(&instance));
         }
-        gateway.note_readiness();
+        gateway.update_readiness();
         gateway.crashes.borrow_mut().expire(now);
         let directory = gateway.directory.borrow();
         let mut pool = gateway.pool.borrow_mut();
