--- a/coordination/src/gateway.rs
+++ b/coordination/src/gateway.rs
@@ -14,7 +14,7 @@
 //! | The events of a stream that are forwarded, and the position at which another endpoint resumes it | [`event_series`] | `runs` |
 //! | The requests that crash endpoints | [`fingerprint`] | `quarantine`, `dispatch` |
 //! | The time after which a refused caller may retry | [`retry_after`] | `reply` |
-//! | The tokens that a program has spent, and those that its turns may spend | [`ledger`] | `spending` and `recall`, by [`pending_changes`] |
+//! | The tokens that a program has spent, and those that its turns may spend | [`ledger`] | `spending` and `reservation_lookup`, by [`pending_changes`] |
 //! | The tokens that programs may spend while the store is unavailable | [`escrow`] | `spending`, by `escrow` |
 //! | The changes of programs that are committed in one transaction | [`pending_changes`] | `commits` |
 //! | The transactions of several hosts that are batched into one | [`group_commit`] | `joined_commits` |
--- a/gateway/src/lib.rs
+++ b/gateway/src/lib.rs
@@ -4,7 +4,7 @@
 //! | what | where |
 //! |---|---|
 //! | a request, step by step | [`front`], [`dispatch`], [`intake`], [`plain`] or [`turn`], [`exchange`], [`pool`]; all work on a [`call`] |
-//! | a turn's budget, and its answer on the way | [`spending`], [`escrow`], [`recall`], [`holders`], [`turn_stream`], [`runs`] |
+//! | a turn's budget, and its answer on the way | [`spending`], [`escrow`], [`reservation_lookup`], [`holders`], [`turn_stream`], [`runs`] |
 //! | whose a request is, and how much its customer may send | [`intake`], [`limits`] |
 //! | what lasts | [`commits`], [`joined_commits`], [`programs`], [`recent_history`], [`retention`] |
 //! | what the process believes of routes and endpoints | [`watch`], [`unusable`], [`entries`], [`gossip`], [`quarantine`] |
@@ -40,10 +40,10 @@
 pub mod process;
 pub mod programs;
 pub mod quarantine;
-pub mod recall;
 pub mod recent_history;
 pub mod reload;
 pub mod reply;
+pub mod reservation_lookup;
 pub mod retention;
 pub mod runs;
 pub mod spending;
--- a/gateway/src/peers.rs
+++ b/gateway/src/peers.rs
@@ -24,7 +24,7 @@
 use self::table::PeerTable;
 use crate::feeds::{self, Followed, FollowedTable};
 use crate::gateway::Gateway;
-use crate::{joined_commits, recall, recent_history};
+use crate::{joined_commits, recent_history, reservation_lookup};
 
 mod row;
 mod table;
@@ -189,7 +189,7 @@
         return Ok(Response::with_body(StatusCode::BAD_REQUEST, ().boxed()));
     };
     Ok(match path.as_str() {
-        recall::PATH => recall::answer(&gateway, &outgoing.body),
+        reservation_lookup::PATH => reservation_lookup::answer(&gateway, &outgoing.body),
         feeds::PATH => feeds::answer(&gateway, &outgoing.body),
         joined_commits::PATH => joined_commits::answer(&gateway, &outgoing.body),
         recent_history::ASK_PATH => recent_history::answer(&gateway, &outgoing.body),
--- a/gateway/src/spending/full_budget.rs
+++ b/gateway/src/spending/full_budget.rs
@@ -12,7 +12,7 @@
 use super::Spending;
 use crate::call::Call;
 use crate::reply::Refusal;
-use crate::{escrow, programs, recall};
+use crate::{escrow, programs, reservation_lookup};
 
 /// How long a turn waits here for the settlement of another one that has ended: several
 /// writes. A refusal costs its caller a new connection and one of few retries.
@@ -48,9 +48,10 @@
             let may_have_grants =
                 self.escrow.takes_grants() || self.filled_by() == FilledBy::Withheld;
             let is_closing = may_have_grants && self.close_slots().await;
-            let recalled = recall::recall(&self.gateway, &self.program, &call.trail).await?;
-            let may_be_gone = !recalled.gone.is_empty();
-            self.ask(recalled.gone);
+            let recalled =
+                reservation_lookup::look_up(&self.gateway, &self.program, &call.trail).await?;
+            let may_be_gone = !recalled.dead_processes.is_empty();
+            self.ask(recalled.dead_processes);
             if self.outcome().await? != Some(Outcome::Exhausted) {
                 return Ok(());
             }
