--- a/gateway/src/escrow.rs
+++ b/gateway/src/escrow.rs
@@ -1,15 +1,15 @@
-//! Spending while the store is unavailable: asks the owners of escrow slots, and
-//! answers as one.
+//! Escrow messages and rows: requests to the owners of slots for spending while the store
+//! is unavailable, and the duties of an owner.
 //!
-//! The decisions are in `rosebend_coordination::gateway::escrow`. Messages are
-//! datagrams; a question is repeated until its answer comes, and every answer may
-//! be given twice.
+//! The decisions are made in `rosebend_coordination::gateway::escrow`. Messages are
+//! datagrams. A request is repeated until its answer arrives, and a repeated answer has
+//! no further effect.
 //!
-//! | what | where |
+//! | topic | module |
 //! |---|---|
-//! | what a turn asks the owners of its program's slots | `turns` |
-//! | when an owner grants nothing, and what a death leaves | `hold_off` |
-//! | what a host does with its slots when it stops | [`giving_up`] |
+//! | requests of a turn to the owners of its program's slots | `turns` |
+//! | hold-off of an owner, and takeover of slots after a death | `hold_off` |
+//! | release of a host's slots when its process stops | [`slot_release`] |
 
 use std::cell::{Cell, OnceCell, RefCell};
 use std::collections::HashMap;
@@ -32,77 +32,77 @@
 use crate::gateway::Gateway;
 use crate::peers;
 
-pub use self::turns::{Denied, Grant, Wanted, close, extend, grant, settle};
+pub use self::turns::{Grant, GrantContext, GrantError, close, extend, grant, settle};
 
-pub mod giving_up;
 mod hold_off;
+pub mod slot_release;
 mod turns;
 
-/// Begins every datagram of this module; no other begins so.
-pub const MARK: [u8; 2] = *b"E2";
+/// Prefix of every datagram of this module. Datagrams of other modules do not have it.
+pub const DATAGRAM_PREFIX: [u8; 2] = *b"E2";
 /// Timeout for an owner's answer.
 const ASK_TIMEOUT: Duration = Duration::from_millis(60);
-/// Pause before a question is repeated: datagrams are lost.
-const ASK_AGAIN: Duration = Duration::from_millis(20);
-/// How long an owner that did not answer is not asked for grants.
-const AVOIDANCE: Duration = Duration::from_secs(1);
-/// Time between two looks for slots that this host should own.
+/// Interval between repetitions of a request. Datagrams may be lost.
+const ASK_RETRY_INTERVAL: Duration = Duration::from_millis(20);
+/// Time for which an owner that did not answer is not asked for grants.
+const AVOIDANCE_PERIOD: Duration = Duration::from_secs(1);
+/// Interval between two checks for slots that this host should own.
 const CLAIM_INTERVAL: Duration = Duration::from_millis(500);
-/// Largest datagram that is sent, in bytes.
+/// Maximum size of a datagram that is sent, in bytes.
 const MAX_SENT_BYTES: usize = 8_000;
 
-/// A message between gateways about slots.
+/// Message between gateway processes about slots.
 #[derive(Debug, Deserialize, Serialize)]
 enum Message {
     Question(Question),
     Answer(Answer),
 }
 
-/// The slots as this host knows them, and questions that wait for an answer.
+/// State of all slots as known to this process, and the requests that await an answer.
 #[derive(Debug)]
 pub struct Escrow {
-    own_run: ProcessId,
+    own_process: ProcessId,
     slots: RefCell<Slots<SocketAddr>>,
     socket: OnceCell<Rc<UdpSocket>>,
-    waiting: RefCell<HashMap<u64, oneshot::Sender<Reply>>>,
-    next_number: Cell<u64>,
-    /// Owners that did not answer, and until when they are avoided.
-    silent: RefCell<HashMap<ProcessId, Duration>>,
-    /// Wakes up who ends this host's hold-off.
-    grant_wanted: Notify,
-    /// Rows by which this host gives up slots, when it stops, that may not be written.
+    pending_replies: RefCell<HashMap<u64, oneshot::Sender<Reply>>>,
+    last_number: Cell<u64>,
+    /// Owners that did not answer, with the time until which they are avoided.
+    unresponsive: RefCell<HashMap<ProcessId, Duration>>,
+    /// Notifies the task that ends this host's hold-off.
+    grant_requested: Notify,
+    /// Release writes of this stopping process that may not have been applied.
     unwritten: RefCell<Vec<SlotWrite>>,
 }
 
 impl Escrow {
-    /// No slot and no other host known.
-    pub fn new(own_run: ProcessId) -> Self {
+    /// Creates a state without any slots or other hosts.
+    pub fn new(own_process: ProcessId) -> Self {
         Self {
-            slots: RefCell::new(Slots::new(own_run.clone())),
-            own_run,
+            slots: RefCell::new(Slots::new(own_process.clone())),
+            own_process,
             socket: OnceCell::new(),
-            waiting: RefCell::default(),
-            next_number: Cell::new(0),
-            silent: RefCell::default(),
-            grant_wanted: Notify::new(),
+            pending_replies: RefCell::default(),
+            last_number: Cell::new(0),
+            unresponsive: RefCell::default(),
+            grant_requested: Notify::new(),
             unwritten: RefCell::default(),
         }
     }
 
-    /// Sends by this socket from now on.
+    /// Sets the socket that sends the datagrams.
     pub fn set_socket(&self, socket: Rc<UdpSocket>) {
-        // The process has one socket for datagrams, and sets it once.
+        // The process has one socket for datagrams and sets it only once.
         let _ = self.socket.set(socket);
     }
 
-    /// Takes all hosts that are there, this one among them.
+    /// Replaces the list of hosts, which includes this one.
     pub fn set_hosts(&self, hosts: Vec<PeerHost<SocketAddr>>, all_withhold: bool, now: Duration) {
         let mut slots = self.slots.borrow_mut();
         slots.set_hosts(hosts, all_withhold, now);
     }
 
-    /// Takes a slot's row.
-    pub fn take_row(&self, slot: SlotId, row: &Row) {
+    /// Records a slot's row.
+    pub fn record_row(&self, slot: SlotId, row: &Row) {
         let Some(value) = &row.value else {
             return;
         };
@@ -115,22 +115,23 @@
         }
     }
 
-    /// Slots that this host owns.
+    /// Returns the number of slots for which this host answers requests.
     pub fn held_slots(&self) -> u64 {
         self.slots.borrow().held().count() as u64
     }
 
-    /// Whether this host, which stops, has slots whose rows name it still.
-    pub fn has_slots_to_give_up(&self) -> bool {
+    /// Returns whether this stopping process still has slots whose rows name it.
+    pub fn has_slots_to_release(&self) -> bool {
         self.slots.borrow().is_owner() || !self.unwritten.borrow().is_empty()
     }
 
-    /// Slots whose owner is known here.
-    pub fn owned_slots(&self) -> u64 {
+    /// Returns the number of slots whose owner is in the table of hosts.
+    pub fn slots_with_live_owner(&self) -> u64 {
         self.slots.borrow().live_owner_count() as u64
     }
 
-    /// Tokens that this host has granted and no ledger has.
+    /// Returns the number of tokens that this host has granted and that are not in a
+    /// ledger yet.
     pub fn outstanding_tokens(&self) -> u64 {
         let slots = self.slots.borrow();
         let accounts = slots.held().map(|(_, accounts)| accounts);
@@ -139,8 +140,8 @@
         })
     }
 
-    /// For how long this host grants nothing.
-    pub fn held_off_for(&self, now: Duration) -> Duration {
+    /// Returns the time until this host grants again.
+    pub fn remaining_hold_off(&self, now: Duration) -> Duration {
         self.slots.borrow().hold_off_remaining(now)
     }
 
@@ -148,27 +149,28 @@
         let Some(socket) = self.socket.get() else {
             return;
         };
-        let mut datagram = MARK.to_vec();
+        let mut datagram = DATAGRAM_PREFIX.to_vec();
         serde_json::to_writer(&mut datagram, message).expect("text and numbers have a JSON form");
         if datagram.len() <= MAX_SENT_BYTES {
-            // A full link, or a host that is gone: the question is repeated.
+            // The link may be congested or the host dead; the request is repeated.
             let _ = socket.try_send_to(&datagram, to);
         }
     }
 
     fn question(&self, to: &ProcessId, slot: &SlotId, ask: Ask) -> Question {
-        let number = self.next_number.get() + 1;
-        self.next_number.set(number);
+        let number = self.last_number.get() + 1;
+        self.last_number.set(number);
         Question {
             number,
-            from: self.own_run.clone(),
+            from: self.own_process.clone(),
             to: to.clone(),
             slot: slot.clone(),
             ask,
         }
     }
 
-    /// Asks a slot's owner; none when there is none or it does not answer.
+    /// Sends a request to a slot's owner. Returns `None` if the slot has no owner or the
+    /// owner does not answer.
     async fn ask(&self, slot: &SlotId, ask: Ask, now: Duration) -> Option<Reply> {
         let owner = self.slots.borrow().owner(slot);
         match owner {
@@ -176,37 +178,39 @@
                 let reply = self
                     .slots
                     .borrow_mut()
-                    .answer(slot, &self.own_run, ask, now);
-                self.note_reply(reply);
+                    .answer(slot, &self.own_process, ask, now);
+                self.notify_on_hold_off(reply);
                 Some(reply)
             }
-            Owner::Remote(run, address) => self.ask_run(&run, address, slot, ask).await,
+            Owner::Remote(process, address) => self.ask_process(&process, address, slot, ask).await,
             Owner::Absent | Owner::Unowned => None,
         }
     }
 
-    fn note_reply(&self, reply: Reply) {
+    fn notify_on_hold_off(&self, reply: Reply) {
         if matches!(reply, Reply::HeldOff { .. }) {
-            self.grant_wanted.notify_one();
+            self.grant_requested.notify_one();
         }
     }
 
-    async fn ask_run(
+    async fn ask_process(
         &self,
-        run: &ProcessId,
+        process: &ProcessId,
         address: SocketAddr,
         slot: &SlotId,
         ask: Ask,
     ) -> Option<Reply> {
-        let question = self.question(run, slot, ask);
+        let question = self.question(process, slot, ask);
         let number = question.number;
         let message = Message::Question(question);
-        let (told, mut reply) = oneshot::channel();
-        self.waiting.borrow_mut().insert(number, told);
-        let mut tries = ASK_TIMEOUT.as_millis() / ASK_AGAIN.as_millis();
-        let answered = loop {
+        let (reply_sender, mut reply) = oneshot::channel();
+        self.pending_replies
+            .borrow_mut()
+            .insert(number, reply_sender);
+        let mut tries = ASK_TIMEOUT.as_millis() / ASK_RETRY_INTERVAL.as_millis();
+        let received = loop {
             self.send(address, &message);
-            if let Ok(reply) = tokio::time::timeout(ASK_AGAIN, &mut reply).await {
+            if let Ok(reply) = tokio::time::timeout(ASK_RETRY_INTERVAL, &mut reply).await {
                 break reply.ok();
             }
             tries -= 1;
@@ -214,16 +218,16 @@
                 break None;
             }
         };
-        self.waiting.borrow_mut().remove(&number);
-        answered
+        self.pending_replies.borrow_mut().remove(&number);
+        received
     }
 
-    /// Whether a slot's owner was silent lately.
+    /// Returns whether the owner of a slot is absent or did not answer recently.
     fn is_avoided(&self, slot: &SlotId, now: Duration) -> bool {
         match self.slots.borrow().owner(slot) {
-            Owner::Remote(run, _) => {
-                let silent = self.silent.borrow();
-                silent.get(&run).is_some_and(|until| now < *until)
+            Owner::Remote(process, _) => {
+                let unresponsive = self.unresponsive.borrow();
+                unresponsive.get(&process).is_some_and(|until| now < *until)
             }
             Owner::Local => false,
             Owner::Absent | Owner::Unowned => true,
@@ -231,20 +235,21 @@
     }
 
     fn avoid(&self, slot: &SlotId, now: Duration) {
-        if let Owner::Remote(run, _) = self.slots.borrow().owner(slot) {
-            let mut silent = self.silent.borrow_mut();
-            silent.retain(|_, until| now < *until);
-            silent.insert(run, now + AVOIDANCE);
+        if let Owner::Remote(process, _) = self.slots.borrow().owner(slot) {
+            let mut unresponsive = self.unresponsive.borrow_mut();
+            unresponsive.retain(|_, until| now < *until);
+            unresponsive.insert(process, now + AVOIDANCE_PERIOD);
         }
     }
 }
 
-/// Takes slots that this host should own, and holds off as their owner, for ever.
+/// Claims the slots that this host should own and renews its hold-off as their owner.
+/// Never returns.
 pub async fn run(gateway: Rc<Gateway>) {
-    tokio::join!(take_slots(&gateway), hold_off::renew(&gateway));
+    tokio::join!(claim_slots(&gateway), hold_off::renew(&gateway));
 }
 
-async fn take_slots(gateway: &Gateway) {
+async fn claim_slots(gateway: &Gateway) {
     hold_off::inherit(gateway).await;
     loop {
         tokio::time::sleep(CLAIM_INTERVAL).await;
@@ -254,14 +259,14 @@
         let now = gateway.clock.now();
         let claims = gateway.escrow.slots.borrow_mut().claims(now);
         if !claims.is_empty() {
-            write(gateway, claims).await;
+            write_slots(gateway, claims).await;
         }
         hold_off::complete(gateway).await;
     }
 }
 
-/// Writes rows of slots, all or none. Returns whether they were written.
-async fn write(gateway: &Gateway, writes: Vec<SlotWrite>) -> bool {
+/// Writes rows of slots in one transaction. Returns whether the transaction was applied.
+async fn write_slots(gateway: &Gateway, writes: Vec<SlotWrite>) -> bool {
     let mut transaction = Transaction::default();
     for write in &writes {
         let row = RowId::new(peers::TABLE, "", write.slot.key());
@@ -273,19 +278,19 @@
         transaction.writes.push(RowWrite { row, value });
     }
     let escrow = &gateway.escrow;
-    let is_taking = |write: &SlotWrite| write.row.owner.as_ref() == Some(&escrow.own_run);
-    if writes.iter().any(is_taking) {
-        transaction.writes.extend(hold_off::begin(gateway));
+    let is_claim = |write: &SlotWrite| write.row.owner.as_ref() == Some(&escrow.own_process);
+    if writes.iter().any(is_claim) {
+        transaction.writes.extend(hold_off::announce(gateway));
     }
     match gateway.store.transact(&transaction).await {
         Ok(Transacted::Applied(version)) => {
             let owner = writes.first().and_then(|write| write.row.owner.as_ref());
-            let event = match owner == Some(&escrow.own_run) {
+            let event = match owner == Some(&escrow.own_process) {
                 true => EventKind::EscrowTaken,
                 false => EventKind::EscrowReleased,
             };
             let event = Event::new(event).count(writes.len() as u64).reason("row");
-            log_event(&event.holders(&owners(&writes)));
+            log_event(&event.holders(&describe_owners(&writes)));
             let mut slots = escrow.slots.borrow_mut();
             for write in writes {
                 slots.observe_row(write.slot, version, write.row);
@@ -295,18 +300,19 @@
         Ok(Transacted::Conflict(rows)) => {
             for row in &rows {
                 if let Some(slot) = SlotId::from_key(&row.id.key) {
-                    escrow.take_row(slot, row);
+                    escrow.record_row(slot, row);
                 }
             }
             false
         }
-        // The client has logged how the call failed; the feed tells what was written.
+        // The store client has logged the failure. The table's feed delivers the rows if
+        // they were written.
         Err(_) => false,
     }
 }
 
-/// Who owns which slot from then on, for logs.
-fn owners(writes: &[SlotWrite]) -> String {
+/// Returns a log text that lists the slots and their new owners.
+fn describe_owners(writes: &[SlotWrite]) -> String {
     let owners = writes.iter().map(|write| {
         let owner = write.row.owner.as_ref().map_or("nobody", String::as_str);
         format!("{}/{}:{owner}", write.slot.partition, write.slot.index)
@@ -314,19 +320,20 @@
     owners.collect::<Vec<String>>().join(",")
 }
 
-/// Handles a message of another gateway.
+/// Handles a message from another gateway.
 pub fn on_message(gateway: &Gateway, message: &[u8], from: SocketAddr) {
-    // What no gateway of this version sent is passed over, as one that is lost.
+    // A datagram that cannot be decoded was not sent by a gateway of this version and is
+    // ignored like a lost one.
     let Ok(message) = serde_json::from_slice(message) else {
         return;
     };
     let escrow = &gateway.escrow;
     match message {
         Message::Question(question) => answer(escrow, question, from, gateway.clock.now()),
-        Message::Answer(answer) if answer.to == escrow.own_run => {
-            if let Some(waiting) = escrow.waiting.borrow_mut().remove(&answer.number) {
-                // Who asked may have gone.
-                let _ = waiting.send(answer.reply);
+        Message::Answer(answer) if answer.to == escrow.own_process => {
+            if let Some(reply_sender) = escrow.pending_replies.borrow_mut().remove(&answer.number) {
+                // The requesting task may have been cancelled.
+                let _ = reply_sender.send(answer.reply);
             }
         }
         Message::Answer(_) => {}
@@ -334,7 +341,7 @@
 }
 
 fn answer(escrow: &Escrow, question: Question, from: SocketAddr, now: Duration) {
-    if question.to != escrow.own_run {
+    if question.to != escrow.own_process {
         return;
     }
     let is_take_over = matches!(question.ask, Ask::TakeOver { .. });
@@ -345,11 +352,12 @@
         to: question.from.clone(),
         reply,
     };
-    escrow.note_reply(reply);
+    escrow.notify_on_hold_off(reply);
     escrow.send(from, &Message::Answer(answer));
     if is_take_over && reply == Reply::Noted {
         for peer in slots.peers() {
-            // One that does not hear it grants by the other slot.
+            // A peer that does not receive this message requests its grants from the
+            // partition's other slot.
             let moved = Ask::Moved(question.from.clone());
             let moved = escrow.question(&peer.process, &question.slot, moved);
             escrow.send(peer.address, &Message::Question(moved));
--- a/gateway/src/escrow/hold_off.rs
+++ b/gateway/src/escrow/hold_off.rs
@@ -1,4 +1,4 @@
-//! Holding off as an owner of slots, and taking slots over after a death.
+//! Hold-off of an owner of slots, and takeover of slots after a death.
 
 use std::time::Duration;
 
@@ -15,23 +15,26 @@
 use rosebend_transport::store::{StoreError, Transacted};
 use tokio::time::MissedTickBehavior;
 
-use super::write;
+use super::write_slots;
 use crate::gateway::Gateway;
 use crate::peers;
 
-/// Table of the rows by which owners hold off.
+/// Table of the hold-off rows.
 const TABLE: &str = "escrow";
-/// Pause before the store is asked again for the last run's hold-off.
+/// Pause before the hold-off row of the previous process is read again after a failure.
 const RETRY_PAUSE: Duration = Duration::from_millis(100);
-/// Renewals on their way, at most: one whose answer is late holds up no other.
-const MAX_RENEWALS: usize = 4;
-/// How long the mark that ends a hold-off is waited for. Another question tries it again.
+/// Maximum number of concurrent renewals. Several are allowed, so that a late response
+/// does not delay the next renewal.
+const MAX_PENDING_RENEWALS: usize = 4;
+/// Timeout for the write of the end marker of a hold-off. The next request for a grant
+/// repeats the write.
 const END_TIMEOUT: Duration = Duration::from_millis(300);
 /// Resolution of the store's clock.
-const CLOCK_STEP: Duration = Duration::from_millis(1);
+const STORE_CLOCK_RESOLUTION: Duration = Duration::from_millis(1);
 
-/// Holds off as long as the store answers, for ever, where the settings say so. Where no
-/// route takes grants nobody needs to know.
+/// Renews the hold-off while the store is available, and ends it when a grant is
+/// requested. Nothing is written if the settings disable the hold-off or no route takes
+/// grants. Never returns.
 pub async fn renew(gateway: &Gateway) {
     let mut renewals = FuturesUnordered::new();
     let mut ticks = tokio::time::interval(RENEWAL_INTERVAL);
@@ -40,15 +43,15 @@
         tokio::select! {
             _ = ticks.tick() => {}
             Some(()) = renewals.next() => continue,
-            () = gateway.escrow.grant_wanted.notified() => {
+            () = gateway.escrow.grant_requested.notified() => {
                 end(gateway).await;
                 continue;
             }
         }
         let is_owner = gateway.escrow.slots.borrow().is_owner();
-        let has_room = renewals.len() < MAX_RENEWALS;
-        if is_owner && has_room && gateway.store.is_reachable() {
-            let write = begin(gateway);
+        let has_capacity = renewals.len() < MAX_PENDING_RENEWALS;
+        if is_owner && has_capacity && gateway.store.is_reachable() {
+            let write = announce(gateway);
             renewals.extend(write.map(|write| renew_once(gateway, write)));
         }
     }
@@ -59,11 +62,12 @@
         writes: vec![write],
         ..Transaction::default()
     };
-    // Without an answer this run holds off all the same.
+    // This process holds off even if the write fails.
     let _ = gateway.store.transact(&transaction).await;
 }
 
-/// Ends the hold-off once a turn wants a grant, as far as the store answers.
+/// Ends the hold-off after a turn has requested a grant, provided that the store is
+/// available.
 async fn end(gateway: &Gateway) {
     let now = gateway.clock.now();
     let epoch = gateway.escrow.slots.borrow().epoch_to_end(now);
@@ -71,22 +75,23 @@
         return;
     };
     let host = &gateway.settings().host;
-    let mark = HoldOffRow::marker_key(host, &gateway.escrow.own_run, epoch);
-    let mark = Transaction::default().write(RowId::new(TABLE, "", mark), Vec::new());
-    let written = tokio::time::timeout(END_TIMEOUT, gateway.store.transact(&mark)).await;
+    let marker = HoldOffRow::marker_key(host, &gateway.escrow.own_process, epoch);
+    let marker = Transaction::default().write(RowId::new(TABLE, "", marker), Vec::new());
+    let written = tokio::time::timeout(END_TIMEOUT, gateway.store.transact(&marker)).await;
     if matches!(written, Ok(Ok(Transacted::Applied(_)))) {
         gateway.escrow.slots.borrow_mut().end_epoch(epoch);
     }
 }
 
-/// Holds off from now on, and returns the write that says so. It goes with the rows of
-/// slots that this host takes, so that no moment is left in which their owner may die and
-/// has not said that it holds off.
-pub fn begin(gateway: &Gateway) -> Option<RowWrite> {
-    if !holds_off(gateway) {
+/// Starts or renews the hold-off and returns the write that announces it. The write
+/// belongs to the same transaction as the rows of slots that this process claims, so that
+/// the process cannot die as an owner that has not announced its hold-off.
+pub fn announce(gateway: &Gateway) -> Option<RowWrite> {
+    if !is_enabled(gateway) {
         return None;
     }
-    // In this order: the time of the row must not be later than this host's own.
+    // The store's clock is read before the local one, so that the announced hold-off ends
+    // no later than the one that this process observes.
     let store_now = gateway.store.store_now()?;
     let now = gateway.clock.now();
     let row = gateway
@@ -100,9 +105,9 @@
     })
 }
 
-/// Whether this host holds off at all: some route's turns may run by grants, as far as the
-/// routes are known.
-fn holds_off(gateway: &Gateway) -> bool {
+/// Returns whether this host holds off at all: the settings enable it, and the turns of
+/// some route may run on grants or the routes are not known yet.
+fn is_enabled(gateway: &Gateway) -> bool {
     if !gateway.settings().escrow_holds_off {
         return false;
     }
@@ -117,9 +122,9 @@
     RowId::new(TABLE, "", HoldOffRow::key(&gateway.settings().host))
 }
 
-/// The run before this one on its host, if it died while it held off. Asks the store until
-/// it answers.
-async fn quiet_run(gateway: &Gateway) -> Option<ProcessId> {
+/// Returns the previous process on this host if it died during its hold-off. Repeats the
+/// request to the store until it is answered.
+async fn clean_predecessor(gateway: &Gateway) -> Option<ProcessId> {
     let id = row_id(gateway);
     let host = gateway.settings().host.clone();
     let (from, to) = HoldOffRow::key_range(&host);
@@ -131,28 +136,29 @@
     };
     loop {
         let asked_at = gateway.clock.now();
-        // The client has logged that the store is lost.
+        // The store client has logged the failure.
         let Ok(rows) = gateway.store.read(&range).await else {
             tokio::time::sleep(RETRY_PAUSE).await;
             continue;
         };
         let row = rows.rows.iter().find(|row| row.id == id)?;
-        // The process began before it asked, by all of its clock.
-        let began_at = (rows.now? + CLOCK_STEP).saturating_sub(asked_at);
-        let found = died_in_time(row, began_at)?;
-        let mark = HoldOffRow::marker_key(&host, &found.run, found.epoch);
-        let has_ended = rows.rows.iter().any(|row| row.id.key == mark);
-        log_found(&found.run, if has_ended { "ended" } else { "in-time" });
+        // `asked_at` is the time for which this process had been running when it sent the
+        // request. The result is therefore no earlier than its start.
+        let started_at = (rows.now? + STORE_CLOCK_RESOLUTION).saturating_sub(asked_at);
+        let found = hold_off_at_death(row, started_at)?;
+        let marker = HoldOffRow::marker_key(&host, &found.run, found.epoch);
+        let has_ended = rows.rows.iter().any(|row| row.id.key == marker);
+        log_predecessor(&found.run, if has_ended { "ended" } else { "in-time" });
         return (!has_ended).then_some(found.run);
     }
 }
 
-/// What the last run said, if it died before the end of its hold-off.
-fn died_in_time(row: &Row, began_at: Duration) -> Option<HoldOffRow> {
+/// Returns the decoded hold-off row if its process died before the end of the hold-off.
+fn hold_off_at_death(row: &Row, started_at: Duration) -> Option<HoldOffRow> {
     match HoldOffRow::decode(row.value.as_ref()?) {
-        Ok(row) if row.clone().died_within_hold_off(began_at).is_some() => Some(row),
+        Ok(row) if row.clone().died_within_hold_off(started_at).is_some() => Some(row),
         Ok(row) => {
-            log_found(&row.run, "too-late");
+            log_predecessor(&row.run, "too-late");
             None
         }
         Err(error) => {
@@ -162,22 +168,24 @@
     }
 }
 
-fn log_found(run: &ProcessId, reason: &'static str) {
+fn log_predecessor(process: &ProcessId, reason: &'static str) {
     let event = Event::new(EventKind::HoldOffFound).reason(reason);
-    log_event(&event.holders(run));
+    log_event(&event.holders(process));
 }
 
-/// Takes the slots of the run before this one on its host, if it died while it held off. A
-/// process may be killed soon after its start, and the next one knows less.
+/// Takes over the slots of the previous process on this host if it died during its
+/// hold-off. The takeover happens at once, because this process may be killed soon after
+/// its start, and its successor could not determine whether the slots have outstanding
+/// grants.
 pub async fn inherit(gateway: &Gateway) {
-    let Some(run) = quiet_run(gateway).await else {
+    let Some(process) = clean_predecessor(gateway).await else {
         return;
     };
     gateway
         .escrow
         .slots
         .borrow_mut()
-        .set_clean_predecessor(Some(run));
+        .set_clean_predecessor(Some(process));
     let (from, to) = SlotId::key_range();
     let range = RowRange {
         table: peers::TABLE.to_owned(),
@@ -185,33 +193,35 @@
         from,
         to: Some(to),
     };
-    // What fails is taken with the other slots that this host should own.
+    // Slots that cannot be read now are claimed later, with the other slots that this
+    // host should own.
     let Ok(rows) = gateway.store.read(&range).await else {
         return;
     };
     for row in &rows.rows {
         if let Some(slot) = SlotId::from_key(&row.id.key) {
-            gateway.escrow.take_row(slot, row);
+            gateway.escrow.record_row(slot, row);
         }
     }
     let inherited = gateway.escrow.slots.borrow().inheritance_claims();
-    if !inherited.is_empty() && write(gateway, inherited).await {
+    if !inherited.is_empty() && write_slots(gateway, inherited).await {
         complete(gateway).await;
     }
 }
 
-/// Completes the slots that this host has taken after a death. What fails is tried again
-/// by the next call.
+/// Completes the slots that this process has taken over after a death. The next call
+/// repeats what fails.
 pub async fn complete(gateway: &Gateway) {
     let incomplete = gateway.escrow.slots.borrow().incomplete();
     for slots in incomplete.chunk_by(|slot, next| slot.partition == next.partition) {
-        // The client has logged how a call failed.
+        // The store client has logged the failure.
         let _ = complete_partition(gateway, slots).await;
     }
 }
 
-/// Completes slots of one partition. From the fence on no ledger may count a slot as closed
-/// by the owner before, so that those which are read are all that did.
+/// Completes slots of one partition. Once a slot's fence is raised, no ledger can count
+/// the slot as closed by its previous owner any more, so that the ledgers read afterwards
+/// include all that did.
 async fn complete_partition(gateway: &Gateway, slots: &[SlotId]) -> Result<(), StoreError> {
     let mut fences = Vec::new();
     for slot in slots {
@@ -223,7 +233,10 @@
         let Some(fence) = fence else {
             continue;
         };
-        let closed: Vec<ProgramKey> = rows.iter().filter_map(|row| closed(row, slot)).collect();
+        let closed: Vec<ProgramKey> = rows
+            .iter()
+            .filter_map(|row| closed_program(row, slot))
+            .collect();
         let event = Event::new(EventKind::EscrowCompleted).count(closed.len() as u64);
         log_event(&event.holders(&slot.key()));
         let mut held = gateway.escrow.slots.borrow_mut();
@@ -232,7 +245,8 @@
     Ok(())
 }
 
-/// Writes a slot's fence. None when another run wrote it meanwhile.
+/// Writes a slot's fence and returns its version, or `None` if another process wrote the
+/// fence at the same time.
 async fn raise_fence(gateway: &Gateway, slot: &SlotId) -> Result<Option<RowVersion>, StoreError> {
     let row = slot.fence_row();
     let present = gateway.store.read_row(&row).await?;
@@ -245,8 +259,8 @@
     })
 }
 
-/// The program of a ledger that counts a slot as closed, or cannot be read.
-fn closed(row: &Row, slot: &SlotId) -> Option<ProgramKey> {
+/// Returns the program of a ledger that counts a slot as closed or cannot be decoded.
+fn closed_program(row: &Row, slot: &SlotId) -> Option<ProgramKey> {
     let program = program_of_ledger(row)?;
     let ledger = Ledger::decode(row.value.as_ref()?);
     let is_closed = |ledger: Ledger| ledger.closed_at_fences().contains_key(&slot.index);
--- a/gateway/src/escrow/giving_up.rs
+++ b/gateway/src/escrow/slot_release.rs
@@ -1,4 +1,4 @@
-//! Giving up this host's escrow slots when its process stops as planned.
+//! Release of this host's escrow slots during a planned stop.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,57 +11,59 @@
 use rosebend_state::deployment::RowId;
 use rosebend_transport::event::{Event, EventKind, log_event};
 
-use super::{Escrow, write};
+use super::{Escrow, write_slots};
 use crate::gateway::Gateway;
 use crate::peers;
 
-/// Hosts that are asked at most whether they take a slot over. A process has little time
-/// to stop.
-const MAX_ASKED: usize = 2;
-/// How often rows are written that others changed meanwhile.
-const MAX_WRITES: u32 = 3;
+/// Maximum number of hosts that are asked to take over a slot. The time for stopping a
+/// process is short.
+const MAX_CANDIDATES: usize = 2;
+/// Maximum number of attempts to write rows that other processes change at the same time.
+const MAX_WRITE_ATTEMPTS: u32 = 3;
 
-/// Gives up this host's slots, by their rows. What was not written is tried again by the
-/// next call.
+/// Releases the slots of this process by writing their rows. The next call repeats writes
+/// that were not applied.
 pub async fn release(gateway: &Gateway) {
     let escrow = &gateway.escrow;
     escrow.slots.borrow_mut().stop_acquiring();
     read_accepted(gateway).await;
-    let fresh = escrow.give_up().await;
-    escrow.unwritten.borrow_mut().extend(fresh);
-    for _ in 0..MAX_WRITES {
+    let released = escrow.release_to_successors().await;
+    escrow.unwritten.borrow_mut().extend(released);
+    for _ in 0..MAX_WRITE_ATTEMPTS {
         let writes = escrow.unwritten.borrow().clone();
         let writes = escrow.slots.borrow().unwritten_releases(writes);
         escrow.unwritten.replace(writes.clone());
-        if writes.is_empty() || write(gateway, writes).await {
+        if writes.is_empty() || write_slots(gateway, writes).await {
             escrow.unwritten.take();
             return;
         }
     }
 }
 
-/// Takes no slot any more.
-pub fn begin(gateway: &Gateway) {
+/// Stops this process from claiming or accepting slots.
+pub fn stop_acquiring(gateway: &Gateway) {
     gateway.escrow.slots.borrow_mut().stop_acquiring();
 }
 
-/// For how long this host's slots may not be left with others by messages: the next run on
-/// this host would take them for slots from which nothing was granted.
-pub fn hand_over_wait(gateway: &Gateway) -> Duration {
-    gateway.escrow.held_off_for(gateway.clock.now())
+/// Returns the time for which this process must not hand over its slots by message.
+/// During its hold-off, the next process on this host would take over the slots on the
+/// assumption that they have no outstanding grants.
+pub fn hand_over_delay(gateway: &Gateway) -> Duration {
+    gateway.escrow.remaining_hold_off(gateway.clock.now())
 }
 
-/// Leaves this host's slots with others by messages, while the store is unavailable and
-/// once this host holds off no more.
+/// Hands this host's slots over to other hosts by message. The store must be unavailable,
+/// and the hold-off of this process must have ended.
 pub async fn hand_over(gateway: &Gateway) {
     let escrow = &gateway.escrow;
     escrow.slots.borrow_mut().stop_acquiring();
-    let mut writes = escrow.give_up().await;
-    // Of those a row may be on its way: they go to whom it names.
+    let mut writes = escrow.release_to_successors().await;
+    // The rows of these slots may already be in transit to the store, so that the slots
+    // must go to the owners that the rows name.
     writes.extend(escrow.unwritten.take());
-    let complete = writes.into_iter();
-    let complete = complete.filter(|write| !write.row.has_unread_closings);
-    let hand_overs = complete.filter_map(|write| {
+    let transferable = writes.into_iter();
+    let transferable = transferable.filter(|write| !write.row.has_unread_closings);
+    let hand_overs = transferable.filter_map(|write| {
         let successor = write.row.owner?;
         let address = escrow.address_of(&successor)?;
         let ask = Ask::TakeOver {
@@ -69,7 +71,7 @@
             fence: write.row.fence,
         };
         let slot = write.slot;
-        Some(async move { escrow.ask_run(&successor, address, &slot, ask).await })
+        Some(async move { escrow.ask_process(&successor, address, &slot, ask).await })
     });
     let replies = join_all(hand_overs).await;
     let taken = replies.iter().filter(|reply| **reply == Some(Reply::Noted));
@@ -77,24 +79,26 @@
     log_event(&event.reason("peer"));
 }
 
-/// Reads the rows of slots that this host said it takes over, whose owner may have named
-/// it since.
+/// Reads the rows of the slots that this process has agreed to take over. Their owners
+/// may have named it as successor since.
 async fn read_accepted(gateway: &Gateway) {
     let escrow = &gateway.escrow;
     let accepted = escrow.slots.borrow().accepted();
     let reads = accepted.into_iter().map(|slot| async move {
         let id = RowId::new(peers::TABLE, "", slot.key());
-        // Without an answer the slot may stay with a run that is gone.
+        // If the read fails, the slot may remain assigned to this process after it has
+        // stopped.
         if let Ok(Some(row)) = gateway.store.read_row(&id).await {
-            escrow.take_row(slot, &row);
+            escrow.record_row(slot, &row);
         }
     });
     join_all(reads).await;
 }
 
 impl Escrow {
-    /// Finds hosts that take this one's slots over. From then on it grants nothing.
-    async fn give_up(&self) -> Vec<SlotWrite> {
+    /// Finds successors for the slots of this process and releases the slots. From then
+    /// on this process grants nothing. Returns the writes of the rows.
+    async fn release_to_successors(&self) -> Vec<SlotWrite> {
         let held: Vec<SlotId> = {
             let slots = self.slots.borrow();
             slots.held().map(|(slot, _)| slot.clone()).collect()
@@ -108,25 +112,25 @@
         writes
     }
 
-    /// The first host that says that it takes a slot over. One that has stopped since the
-    /// table of hosts was read does not answer.
+    /// Returns the first host that agrees to take over a slot. A host that has stopped
+    /// since the table of hosts was read does not answer.
     async fn successor(&self, slot: &SlotId) -> Option<ProcessId> {
         let mut candidates = self.slots.borrow().successors(slot);
-        candidates.truncate(MAX_ASKED);
+        candidates.truncate(MAX_CANDIDATES);
         for PeerHost {
             process, address, ..
         } in candidates
         {
-            if self.ask_run(&process, address, slot, Ask::Accept).await == Some(Reply::Noted) {
+            if self.ask_process(&process, address, slot, Ask::Accept).await == Some(Reply::Noted) {
                 return Some(process);
             }
         }
         None
     }
 
-    fn address_of(&self, run: &ProcessId) -> Option<SocketAddr> {
+    fn address_of(&self, process: &ProcessId) -> Option<SocketAddr> {
         let slots = self.slots.borrow();
         let mut peers = slots.peers();
-        Some(peers.find(|host| host.process == *run)?.address)
+        Some(peers.find(|host| host.process == *process)?.address)
     }
 }
--- a/gateway/src/escrow/turns.rs
+++ b/gateway/src/escrow/turns.rs
@@ -1,4 +1,4 @@
-//! What a turn asks the owners of its program's escrow slots.
+//! Requests of turns to the owners of their program's escrow slots.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -15,59 +15,59 @@
 use rosebend_util::random_id;
 use tokio::sync::oneshot;
 
-use super::write;
+use super::write_slots;
 use crate::gateway::Gateway;
 
 /// Pause before a settlement is reported again to an owner that did not answer.
-const SETTLE_AGAIN: Duration = Duration::from_secs(1);
-/// Most reports of a settlement. An owner that misses them all grants the program
-/// less.
-const MAX_SETTLE_TRIES: u32 = 5;
+const SETTLE_RETRY_INTERVAL: Duration = Duration::from_secs(1);
+/// Maximum number of reports of a settlement. An owner that receives none of them
+/// continues to count the grant, and grants the program less.
+const MAX_SETTLE_ATTEMPTS: u32 = 5;
 
-/// A turn's right to spend while the store is unavailable.
+/// Permission of a turn to spend tokens while the store is unavailable.
 #[derive(Clone, Debug)]
 pub struct Grant {
     slot: SlotId,
-    /// Names it in the ledger.
+    /// Identifier of the grant in the ledger.
     pub id: GrantId,
-    /// Tokens that it holds.
+    /// Number of tokens that were granted.
     pub tokens: u64,
 }
 
-/// A turn that wants a grant.
+/// Program and token limits of a turn that requests a grant.
 #[derive(Clone, Copy, Debug)]
-pub struct Wanted<'a> {
-    /// Its program.
+pub struct GrantContext<'a> {
+    /// Program of the turn.
     pub program: &'a str,
-    /// Most tokens that it generates.
-    pub most_tokens: u64,
-    /// Budget of the program.
+    /// Maximum output tokens of the turn.
+    pub max_output_tokens: u64,
+    /// Budget of the program, in tokens.
     pub budget_tokens: u64,
 }
 
-impl Wanted<'_> {
+impl GrantContext<'_> {
     fn request(&self, grant: GrantId, tokens: u64) -> Ask {
         let request = GrantRequest {
             grant,
             tokens,
-            most_tokens: self.most_tokens,
+            most_tokens: self.max_output_tokens,
             budget_tokens: self.budget_tokens,
         };
         Ask::Program(self.program.to_owned(), ProgramAsk::Grant(request))
     }
 }
 
-/// Why a turn gets no grant.
+/// Reason why a turn receives no grant.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Denied {
-    /// An owner grants again after this time.
+pub enum GrantError {
+    /// An owner holds off and grants again after this time.
     HeldOff(Duration),
-    /// No owner answers, or the program's shares do not hold the turn.
+    /// No owner answered, or the program's shares have no room for the turn.
     Refused,
 }
 
-impl Denied {
-    fn or_sooner(self, wait: Duration) -> Self {
+impl GrantError {
+    fn with_hold_off(self, wait: Duration) -> Self {
         match self {
             Self::HeldOff(other) => Self::HeldOff(other.min(wait)),
             Self::Refused => Self::HeldOff(wait),
@@ -75,58 +75,61 @@
     }
 }
 
-/// Asks the owners of a program's slots for a grant in place of a reservation in the
+/// Asks the owners of a program's slots for a grant, which replaces a reservation in the
 /// ledger.
 ///
 /// # Errors
 ///
-/// Says whether an owner grants again soon.
-pub async fn grant(gateway: &Rc<Gateway>, wanted: &Wanted<'_>) -> Result<Grant, Denied> {
+/// Returns whether an owner will grant again soon.
+pub async fn grant(gateway: &Rc<Gateway>, context: &GrantContext<'_>) -> Result<Grant, GrantError> {
     let escrow = &gateway.escrow;
-    let tokens = first_grant_tokens(wanted.most_tokens);
-    let mut denied = Denied::Refused;
-    for slot in SlotId::of_partition(&partition_of(wanted.program)) {
+    let tokens = first_grant_tokens(context.max_output_tokens);
+    let mut error = GrantError::Refused;
+    for slot in SlotId::of_partition(&partition_of(context.program)) {
         let now = gateway.clock.now();
         if escrow.is_avoided(&slot, now) {
             continue;
         }
         let id = random_id();
-        let request = wanted.request(id.clone(), tokens);
+        let request = context.request(id.clone(), tokens);
         let reply = escrow.ask(&slot, request, now).await;
-        gateway.metrics.count_escrow_reply(word(reply));
+        gateway.metrics.count_escrow_reply(reply_label(reply));
         match reply {
             Some(Reply::Granted) => return Ok(Grant { slot, id, tokens }),
-            Some(Reply::HeldOff { wait_ms }) => denied = denied.or_sooner(wait_ms),
+            Some(Reply::HeldOff { wait_ms }) => error = error.with_hold_off(wait_ms),
             None => {
                 escrow.avoid(&slot, now);
-                let program = wanted.program.to_owned();
+                let program = context.program.to_owned();
                 actix_rt::spawn(report_settled(Rc::clone(gateway), program, slot, id));
             }
             Some(_) => {}
         }
     }
-    Err(denied)
+    Err(error)
 }
 
-/// Asks for a larger grant. Returns the tokens that it holds from then on, if these
-/// are as many as are needed.
+/// Requests an extension of a grant. Returns the granted tokens if they cover the needed
+/// tokens.
 pub async fn extend(
     gateway: &Gateway,
-    wanted: &Wanted<'_>,
+    context: &GrantContext<'_>,
     grant: &Grant,
     needed_tokens: u64,
 ) -> Option<u64> {
     if needed_tokens <= grant.tokens {
         return Some(grant.tokens);
     }
-    // Room for a few events more, so that not each of them has to ask.
-    let step = first_grant_tokens(wanted.most_tokens) / 2;
-    let ample = needed_tokens.saturating_add(step).min(wanted.most_tokens);
-    for tokens in [ample.max(needed_tokens), needed_tokens] {
-        let request = wanted.request(grant.id.clone(), tokens);
+    // The margin covers several further events, so that not every event requires a
+    // request.
+    let margin = first_grant_tokens(context.max_output_tokens) / 2;
+    let preferred_tokens = needed_tokens
+        .saturating_add(margin)
+        .min(context.max_output_tokens);
+    for tokens in [preferred_tokens.max(needed_tokens), needed_tokens] {
+        let request = context.request(grant.id.clone(), tokens);
         let now = gateway.clock.now();
         let reply = gateway.escrow.ask(&grant.slot, request, now).await;
-        gateway.metrics.count_escrow_reply(word(reply));
+        gateway.metrics.count_escrow_reply(reply_label(reply));
         if reply == Some(Reply::Granted) {
             return Some(tokens);
         }
@@ -134,8 +137,8 @@
     None
 }
 
-/// Word for counters.
-const fn word(reply: Option<Reply>) -> &'static str {
+/// Returns the metric label of a reply.
+const fn reply_label(reply: Option<Reply>) -> &'static str {
     match reply {
         Some(Reply::Granted) => "granted",
         Some(Reply::Refused) => "refused",
@@ -146,8 +149,8 @@
     }
 }
 
-/// Tells a grant's owner what the turn handed out, and once the ledger has it, that
-/// nothing is outstanding.
+/// Reports the tokens that a turn emitted to the owner of its grant, and, after the
+/// tokens are in the ledger, reports that the grant is no longer outstanding.
 pub async fn settle(
     gateway: Rc<Gateway>,
     program: ProgramKey,
@@ -157,7 +160,7 @@
 ) {
     let report = ProgramAsk::Report(grant.id.clone(), tokens);
     let report = Ask::Program(program.clone(), report);
-    // An owner that does not hear it counts the turn at its most.
+    // An owner that does not receive the report counts all granted tokens as spent.
     let now = gateway.clock.now();
     gateway.escrow.ask(&grant.slot, report, now).await;
     if matches!(outcome.await, Ok(Outcome::Durable)) {
@@ -165,36 +168,36 @@
     }
 }
 
-/// Tells a slot's owner that nothing of a grant is outstanding: the ledger has it, or the
-/// answer that granted it never came.
+/// Reports to a slot's owner that a grant is not outstanding, because it is in the ledger
+/// or because the reply that granted it was not received.
 async fn report_settled(gateway: Rc<Gateway>, program: ProgramKey, slot: SlotId, grant: GrantId) {
-    for _ in 0..MAX_SETTLE_TRIES {
+    for _ in 0..MAX_SETTLE_ATTEMPTS {
         let settle = ProgramAsk::Settle(grant.clone());
         let settle = Ask::Program(program.clone(), settle);
         let now = gateway.clock.now();
         if gateway.escrow.ask(&slot, settle, now).await == Some(Reply::Noted) {
             return;
         }
-        tokio::time::sleep(SETTLE_AGAIN).await;
+        tokio::time::sleep(SETTLE_RETRY_INTERVAL).await;
     }
 }
 
-/// Asks the owners of a program's slots to grant it nothing more.
+/// Asks the owners of a program's slots to close them for the program.
 pub async fn close(gateway: &Gateway, program: &str) -> CloseReplies {
     let slots: Vec<SlotId> = SlotId::of_partition(&partition_of(program)).collect();
     let replies = join_all(slots.iter().map(|slot| close_slot(gateway, slot, program))).await;
-    let mut answers = CloseReplies::default();
+    let mut close_replies = CloseReplies::default();
     for (slot, reply) in slots.iter().zip(replies) {
-        answers.add(slot.index, reply);
+        close_replies.add(slot.index, reply);
     }
-    answers
+    close_replies
 }
 
 async fn close_slot(gateway: &Gateway, slot: &SlotId, program: &str) -> Option<Reply> {
     let escrow = &gateway.escrow;
     let claim = escrow.slots.borrow().claim_if_unowned(slot);
     if let Some(claim) = claim {
-        write(gateway, vec![claim]).await;
+        write_slots(gateway, vec![claim]).await;
     }
     let close = Ask::Program(program.to_owned(), ProgramAsk::Close);
     escrow.ask(slot, close, gateway.clock.now()).await
--- a/gateway/src/gossip.rs
+++ b/gateway/src/gossip.rs
@@ -151,7 +151,7 @@
             limits::on_message(&gateway, message, from);
             continue;
         }
-        if let Some(message) = buffer[..bytes].strip_prefix(&escrow::MARK) {
+        if let Some(message) = buffer[..bytes].strip_prefix(&escrow::DATAGRAM_PREFIX) {
             escrow::on_message(&gateway, message, from);
             continue;
         }
--- a/gateway/src/peers.rs
+++ b/gateway/src/peers.rs
@@ -92,7 +92,7 @@
     }
     for row in &followed.rows {
         match SlotId::from_key(&row.id.key) {
-            Some(slot) => gateway.escrow.take_row(slot, row),
+            Some(slot) => gateway.escrow.record_row(slot, row),
             None => table.take(row),
         }
     }
--- a/gateway/src/process.rs
+++ b/gateway/src/process.rs
@@ -114,7 +114,7 @@
     let open = gateway.open_requests();
     log_event(&Event::new(EventKind::ProcessStopping).count(open));
     gateway.commits.send_all_put_off();
-    escrow::giving_up::begin(gateway);
+    escrow::slot_release::stop_acquiring(gateway);
     release_slots(gateway).await;
     tokio::time::sleep(ACCEPT_AFTER_SIGNAL.min(grace)).await;
     close.send_replace(true);
@@ -131,7 +131,7 @@
     }
     if !gateway.store.is_reachable() {
         let left = end.saturating_sub(gateway.clock.now());
-        tokio::time::sleep(escrow::giving_up::hand_over_wait(gateway).min(left)).await;
+        tokio::time::sleep(escrow::slot_release::hand_over_delay(gateway).min(left)).await;
     }
     // Until here peers could ask what its turns still hold. A row that stays costs a
     // peer one call that is refused, and slots that are not given up in time stay with
@@ -151,9 +151,9 @@
 /// Gives up slots by their rows, as soon as the store answers: a process that stops may be
 /// killed.
 async fn release_slots(gateway: &Gateway) {
-    if gateway.store.is_reachable() && gateway.escrow.has_slots_to_give_up() {
+    if gateway.store.is_reachable() && gateway.escrow.has_slots_to_release() {
         // What is not written in time is tried again.
-        let _ = tokio::time::timeout(LEAVE_TIMEOUT, escrow::giving_up::release(gateway)).await;
+        let _ = tokio::time::timeout(LEAVE_TIMEOUT, escrow::slot_release::release(gateway)).await;
     }
 }
 
@@ -161,9 +161,9 @@
 /// that came since.
 async fn give_up_slots(gateway: &Gateway) {
     match gateway.store.is_reachable() {
-        true => escrow::giving_up::release(gateway).await,
-        false if escrow::giving_up::hand_over_wait(gateway).is_zero() => {
-            escrow::giving_up::hand_over(gateway).await;
+        true => escrow::slot_release::release(gateway).await,
+        false if escrow::slot_release::hand_over_delay(gateway).is_zero() => {
+            escrow::slot_release::hand_over(gateway).await;
         }
         false => {}
     }
--- a/gateway/src/spending.rs
+++ b/gateway/src/spending.rs
@@ -12,7 +12,7 @@
 use tokio::sync::oneshot;
 
 use crate::call::Call;
-use crate::escrow::{self, Denied, Grant, Wanted};
+use crate::escrow::{self, Grant, GrantContext, GrantError};
 use crate::gateway::Gateway;
 use crate::reply::Refusal;
 
@@ -158,11 +158,11 @@
 
     /// Asks for a grant, and again once the owners hold off no more, if the caller waits for
     /// so long and the store is not back before.
-    async fn first_grant(&self, call: &Call) -> Result<Grant, Denied> {
+    async fn first_grant(&self, call: &Call) -> Result<Grant, GrantError> {
         let gateway = &self.gateway;
         loop {
             let granted = escrow::grant(gateway, &self.wanted()).await;
-            let Err(Denied::HeldOff(wait)) = granted else {
+            let Err(GrantError::HeldOff(wait)) = granted else {
                 return granted;
             };
             if gateway.clock.now() + wait >= call.deadline {
@@ -175,10 +175,10 @@
         }
     }
 
-    fn wanted(&self) -> Wanted<'_> {
-        Wanted {
+    fn wanted(&self) -> GrantContext<'_> {
+        GrantContext {
             program: &self.program,
-            most_tokens: self.most_tokens,
+            max_output_tokens: self.most_tokens,
             budget_tokens: self.budget_tokens,
         }
     }
