--- a/gateway/src/spending.rs
+++ b/gateway/src/spending.rs
@@ -1,4 +1,8 @@
-//! What one turn may spend of its program's budget.
+//! Spending of one turn from its program's budget.
+//!
+//! A turn reserves its maximum output tokens in the program's ledger before its first
+//! event is delivered, and settles the emitted tokens when it ends. While the store is
+//! unavailable, a turn may run on a grant of an escrow slot instead of a reservation.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -18,55 +22,58 @@
 
 mod full_budget;
 
-/// Turns of its size that a program's budget must hold beside a turn for it to
-/// be sent before its reservation is durable. Sub-agents spend at other hosts
-/// at the same time; a turn that turns out to be too much then has run in vain.
-/// With less in hand the turn waits for its reservation.
-const TURNS_IN_HAND: u64 = 3;
-/// Time between two questions to an owner that holds off: it may end that before.
-const HELD_OFF_POLL: Duration = Duration::from_millis(40);
-/// Time between two looks whether the store is still in reach.
-const REACH_POLL: Duration = Duration::from_millis(20);
-/// Tokens of a turn that does not say its most; only a turn without a budget
-/// may leave it out.
-const UNTOLD_MOST_TOKENS: u64 = 4_096;
+/// Number of further turns of the same size for which the program's budget must have room
+/// if a turn is to be sent before its reservation is durable. Sub-agents spend at other
+/// hosts at the same time, and a turn that does not fit the budget after all has run for
+/// nothing. With less room, the turn waits for its reservation.
+const MIN_SPARE_TURNS: u64 = 3;
+/// Interval between two requests to an owner that holds off. The owner may end its
+/// hold-off early.
+const HOLD_OFF_POLL_INTERVAL: Duration = Duration::from_millis(40);
+/// Interval between two checks whether the store is reachable.
+const REACHABILITY_POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// Maximum output tokens of a turn that does not declare them. Only a turn without a
+/// budget may omit the declaration.
+const DEFAULT_MAX_OUTPUT_TOKENS: u64 = 4_096;
 
-/// What a turn may spend, and what it did. Dropping it settles the turn.
+/// Tokens that one turn may spend and has emitted. Dropping the value settles the turn.
 #[derive(Debug)]
 pub struct Spending {
     gateway: Rc<Gateway>,
     program: String,
     attempt: AttemptId,
-    /// Tokens of one event.
+    /// Tokens per event.
     tokens_per_event: u64,
-    /// Events that were handed out.
-    events: u64,
-    /// Most tokens that it generates.
-    most_tokens: u64,
-    /// Budget of the program.
+    /// Number of events that were delivered.
+    emitted_events: u64,
+    /// Maximum output tokens of the turn.
+    max_output_tokens: u64,
+    /// Budget of the program, in tokens.
     budget_tokens: u64,
-    /// What the ledger keeps room for.
+    /// Escrow slots for which the ledger withholds tokens.
     escrow: EscrowTerms,
-    /// Set until the reservation is known to be durable.
-    reserving: Option<oneshot::Receiver<Outcome>>,
-    /// Set when the turn runs by a grant in place of a reservation.
+    /// Outcome of the reservation; `None` if it was received, if no reservation was
+    /// requested or if a grant replaced it.
+    pending_reservation: Option<oneshot::Receiver<Outcome>>,
+    /// Grant on which the turn runs, if it has no reservation.
     grant: Option<Grant>,
     is_settled: bool,
 }
 
 impl Spending {
-    /// Asks for a turn's most. The answer is awaited before the first event.
+    /// Requests a reservation of the turn's maximum output tokens. The reservation must
+    /// be durable before the first event is delivered.
     ///
     /// # Errors
     ///
-    /// Says that the budget is spent, or that the store is out of reach.
+    /// Returns a refusal if the budget is exhausted or the store is unreachable.
     pub async fn reserve(
         gateway: &Rc<Gateway>,
         call: &Call,
         header: &ProgramHeader,
     ) -> Result<Self, Refusal> {
-        let most = call.header.tokens.map(|tokens| tokens.max_output_tokens);
-        let most_tokens = most.unwrap_or(UNTOLD_MOST_TOKENS);
+        let declared_tokens = call.header.tokens.map(|tokens| tokens.max_output_tokens);
+        let max_output_tokens = declared_tokens.unwrap_or(DEFAULT_MAX_OUTPUT_TOKENS);
         let budget_tokens = header.budget_tokens.unwrap_or(u64::MAX);
         let program = header.program.clone();
         let attempt = call.turn();
@@ -75,93 +82,95 @@
             program: program.clone(),
             attempt: attempt.clone(),
             tokens_per_event: tokens_per_event(gateway, &call.service),
-            events: 0,
-            most_tokens,
+            emitted_events: 0,
+            max_output_tokens,
             budget_tokens,
-            escrow: escrow_terms(call, header, most_tokens),
-            reserving: None,
+            escrow: escrow_terms(call, header, max_output_tokens),
+            pending_reservation: None,
             grant: None,
             is_settled: false,
         };
         if let Err(refusal) = gateway.reach(&program) {
-            match spending.take_grant(call, refusal).await {
+            match spending.obtain_grant(call, refusal).await {
                 Ok(()) => return Ok(spending),
                 Err(refusal) if gateway.reach(&program).is_err() => {
                     spending.is_settled = true;
                     return Err(refusal);
                 }
-                // The store is back.
+                // The store is reachable again.
                 Err(_) => {}
             }
         }
-        let is_ample = spending.is_ample(call);
-        spending.ask(Vec::new());
-        if !is_ample {
-            spending.granted_before_it_is_sent(call).await?;
+        let has_ample_budget = spending.has_ample_budget(call);
+        spending.request_reservation(Vec::new());
+        if !has_ample_budget {
+            spending.wait_for_reservation_before_send(call).await?;
         }
         Ok(spending)
     }
 
-    /// Whether the turn may be sent before its reservation is durable.
-    fn is_ample(&self, call: &Call) -> bool {
+    /// Returns whether the turn may be sent before its reservation is durable.
+    fn has_ample_budget(&self, call: &Call) -> bool {
         let commits = &self.gateway.commits;
-        let in_hand = self.most_tokens.saturating_mul(1 + TURNS_IN_HAND);
-        // A turn that continues from a kept one has brought its ledger along, and
-        // one that continues from none begins its program. Without history
-        // nothing tells whether a program that is new here has spent its budget.
+        let needed_tokens = self.max_output_tokens.saturating_mul(1 + MIN_SPARE_TURNS);
+        // A turn that continues from a kept turn has loaded the ledger together with that
+        // turn, and a turn without a predecessor starts its program. On a route without
+        // history, a program whose ledger is not cached here may already have spent its
+        // budget.
         let is_known = call.route.keeps_history || commits.knows(&self.program);
         let partition = partition_of(&self.program);
         let is_doubted = self.gateway.store.is_partition_doubted(&partition);
-        let is_held = commits.seems_to_hold(&self.program, in_hand, self.budget_tokens);
+        let is_held = commits.seems_to_hold(&self.program, needed_tokens, self.budget_tokens);
         is_known && !is_doubted && is_held
     }
 
-    /// Waits until the reservation of a turn is durable that was not sent yet. As soon
-    /// as the store is out of reach it takes a grant, or is refused.
-    async fn granted_before_it_is_sent(&mut self, call: &Call) -> Result<(), Refusal> {
+    /// Waits for the reservation of a turn that has not been sent yet to become durable.
+    /// If the store becomes unreachable, the turn switches to a grant or is refused.
+    async fn wait_for_reservation_before_send(&mut self, call: &Call) -> Result<(), Refusal> {
         let gateway = Rc::clone(&self.gateway);
         let program = self.program.clone();
         let until = gateway.clock.instant(call.deadline);
         let granted = tokio::select! {
-            granted = self.reserved(call) => granted,
+            granted = self.wait_for_reservation(call) => granted,
             refusal = until_unreachable(&gateway, &program) => Err(refusal),
             () = tokio::time::sleep_until(until) => return Err(gateway.store_unreachable()),
         };
         match granted {
-            Err(refusal @ Refusal::StoreUnreachable(_)) => self.take_grant(call, refusal).await,
+            Err(refusal @ Refusal::StoreUnreachable(_)) => self.obtain_grant(call, refusal).await,
             granted => granted,
         }
     }
 
-    /// Asks the owners of the program's escrow slots for the turn's most while the
-    /// store is unavailable. A turn whose history is kept needs the store anyway.
-    async fn take_grant(&mut self, call: &Call, refusal: Refusal) -> Result<(), Refusal> {
+    /// Requests a grant from the owners of the program's escrow slots while the store is
+    /// unavailable. A turn whose history is kept receives none, because it needs the
+    /// store anyway.
+    async fn obtain_grant(&mut self, call: &Call, refusal: Refusal) -> Result<(), Refusal> {
         if !self.escrow.takes_grants() {
             return Err(refusal);
         }
         let gateway = &self.gateway;
-        let grant = self.first_grant(call).await;
+        let grant = self.wait_for_grant(call).await;
         let elapsed = call.elapsed(gateway.clock.now());
         let Ok(grant) = grant else {
             let event = Event::new(EventKind::EscrowRefused)
                 .amount(Amount::Budget, self.budget_tokens)
-                .amount(Amount::Most, self.most_tokens);
+                .amount(Amount::Most, self.max_output_tokens);
             call.trail.step(event.elapsed(elapsed));
             return Err(refusal);
         };
         let event = Event::new(EventKind::SpendingGranted).reason("escrow");
         call.trail.step(event.elapsed(elapsed));
         self.grant = Some(grant);
-        self.reserving = None;
+        self.pending_reservation = None;
         Ok(())
     }
 
-    /// Asks for a grant, and again once the owners hold off no more, if the caller waits for
-    /// so long and the store is not back before.
-    async fn first_grant(&self, call: &Call) -> Result<Grant, GrantError> {
+    /// Requests a grant, and repeats the request while the owners hold off, unless the
+    /// hold-off ends after the caller's deadline or the store becomes reachable first.
+    async fn wait_for_grant(&self, call: &Call) -> Result<Grant, GrantError> {
         let gateway = &self.gateway;
         loop {
-            let granted = escrow::grant(gateway, &self.wanted()).await;
+            let granted = escrow::grant(gateway, &self.grant_context()).await;
             let Err(GrantError::HeldOff(wait)) = granted else {
                 return granted;
             };
@@ -169,91 +178,105 @@
                 return granted;
             }
             tokio::select! {
-                () = tokio::time::sleep(wait.min(HELD_OFF_POLL)) => {}
+                () = tokio::time::sleep(wait.min(HOLD_OFF_POLL_INTERVAL)) => {}
                 () = until_reachable(gateway, &self.program) => return granted,
             }
         }
     }
 
-    fn wanted(&self) -> GrantContext<'_> {
+    fn grant_context(&self) -> GrantContext<'_> {
         GrantContext {
             program: &self.program,
-            max_output_tokens: self.most_tokens,
+            max_output_tokens: self.max_output_tokens,
             budget_tokens: self.budget_tokens,
         }
     }
 
-    /// Makes sure that a turn which runs by a grant may hand out all events that
-    /// were counted. Returns whether it may.
-    pub async fn cover(&mut self) -> bool {
+    /// Extends the turn's grant, if it has one, to cover all events that were counted.
+    /// Returns whether the events may be delivered.
+    pub async fn ensure_grant_covers_events(&mut self) -> bool {
         let Some(grant) = &self.grant else {
             return true;
         };
-        let tokens = escrow::extend(&self.gateway, &self.wanted(), grant, self.tokens()).await;
+        let tokens = escrow::extend(
+            &self.gateway,
+            &self.grant_context(),
+            grant,
+            self.emitted_tokens(),
+        )
+        .await;
         if let (Some(grant), Some(tokens)) = (&mut self.grant, tokens) {
             grant.tokens = tokens;
         }
         tokens.is_some()
     }
 
-    /// Asks for the turn's most, with what it may have of hosts that are gone.
-    fn ask(&mut self, dead_processes: Vec<ProcessId>) {
+    /// Requests a reservation of the turn's maximum output tokens. Reservations of
+    /// `dead_processes` may be written off if the turn does not fit the budget otherwise.
+    fn request_reservation(&mut self, dead_processes: Vec<ProcessId>) {
         let change = Change::Reserve {
             attempt: self.attempt.clone(),
-            max_output_tokens: self.most_tokens,
+            max_output_tokens: self.max_output_tokens,
             budget_tokens: self.budget_tokens,
             dead_processes,
             escrow: self.escrow.clone(),
         };
         let outcome = self.gateway.commits.submit(self.program.clone(), change);
-        self.reserving = Some(outcome);
+        self.pending_reservation = Some(outcome);
     }
 
-    /// Waits until the turn may spend its most, and no longer than the caller. While
-    /// the store is unavailable it takes a grant, if there is one.
+    /// Waits until the turn may spend its maximum output tokens, at most until the
+    /// caller's deadline. While the store is unavailable, the turn switches to a grant if
+    /// it receives one.
     ///
     /// # Errors
     ///
-    /// Says that the budget was spent meanwhile, or that nothing is known.
-    pub async fn granted(&mut self, call: &Call) -> Result<(), Refusal> {
+    /// Returns a refusal if the budget was exhausted in the meantime or the outcome is
+    /// unknown.
+    pub async fn wait_until_granted(&mut self, call: &Call) -> Result<(), Refusal> {
         if self.grant.is_some() {
             return Ok(());
         }
         let until = self.gateway.clock.instant(call.deadline);
-        let granted = tokio::time::timeout_at(until, self.reserved_or_granted(call)).await;
+        let granted =
+            tokio::time::timeout_at(until, self.wait_for_reservation_or_grant(call)).await;
         granted.unwrap_or_else(|_| Err(self.gateway.store_unreachable()))
     }
 
-    async fn reserved_or_granted(&mut self, call: &Call) -> Result<(), Refusal> {
+    async fn wait_for_reservation_or_grant(&mut self, call: &Call) -> Result<(), Refusal> {
         if !self.escrow.takes_grants() {
-            return self.reserved(call).await;
+            return self.wait_for_reservation(call).await;
         }
         let gateway = Rc::clone(&self.gateway);
         let program = self.program.clone();
         let outcome = tokio::select! {
-            outcome = self.outcome() => Ok(outcome),
+            outcome = self.reservation_outcome() => Ok(outcome),
             refusal = until_unreachable(&gateway, &program) => Err(refusal),
         };
         match outcome {
-            Ok(outcome) => self.conclude(call, outcome?).await,
-            Err(refusal) => match self.take_grant(call, refusal).await {
+            Ok(outcome) => self.finish_reservation(call, outcome?).await,
+            Err(refusal) => match self.obtain_grant(call, refusal).await {
                 Ok(()) => Ok(()),
-                // The turn runs: its caller waits for the store.
-                Err(_) => self.reserved(call).await,
+                // The turn is already running, so its caller waits for the store.
+                Err(_) => self.wait_for_reservation(call).await,
             },
         }
     }
 
     /// Waits until the reservation is durable.
-    async fn reserved(&mut self, call: &Call) -> Result<(), Refusal> {
-        let outcome = self.outcome().await?;
-        self.conclude(call, outcome).await
+    async fn wait_for_reservation(&mut self, call: &Call) -> Result<(), Refusal> {
+        let outcome = self.reservation_outcome().await?;
+        self.finish_reservation(call, outcome).await
     }
 
-    async fn conclude(&mut self, call: &Call, outcome: Option<Outcome>) -> Result<(), Refusal> {
+    async fn finish_reservation(
+        &mut self,
+        call: &Call,
+        outcome: Option<Outcome>,
+    ) -> Result<(), Refusal> {
         match outcome {
             None => return Ok(()),
-            Some(Outcome::Exhausted) => self.recall(call).await?,
+            Some(Outcome::Exhausted) => self.retry_exhausted_reservation(call).await?,
             Some(_) => {}
         }
         let event = Event::new(EventKind::SpendingGranted).reason("reservation");
@@ -262,14 +285,13 @@
         Ok(())
     }
 
-    /// How the change that asks for the turn's most ended; none when that is
-    /// known already.
-    async fn outcome(&mut self) -> Result<Option<Outcome>, Refusal> {
-        let Some(reserving) = &mut self.reserving else {
+    /// Returns the outcome of the reservation, or `None` if it was received before.
+    async fn reservation_outcome(&mut self) -> Result<Option<Outcome>, Refusal> {
+        let Some(pending_reservation) = &mut self.pending_reservation else {
             return Ok(None);
         };
-        let outcome = reserving.await;
-        self.reserving = None;
+        let outcome = pending_reservation.await;
+        self.pending_reservation = None;
         match outcome {
             Ok(outcome @ (Outcome::Durable | Outcome::Exhausted)) => Ok(Some(outcome)),
             Ok(Outcome::Unreadable) => {
@@ -278,34 +300,35 @@
                 log_event(&event.program_key(&self.program));
                 Err(self.gateway.store_unreachable())
             }
-            // The process stops.
+            // The process is stopping.
             Err(_) => Err(self.gateway.store_unreachable()),
         }
     }
 
-    /// Counts an event that is handed out.
+    /// Counts an event that is about to be delivered.
     pub fn count_event(&mut self) {
-        self.events += 1;
+        self.emitted_events += 1;
     }
 
-    /// Tokens that were handed out.
-    pub fn tokens(&self) -> u64 {
-        self.events * self.tokens_per_event
+    /// Returns the number of tokens that were delivered.
+    pub fn emitted_tokens(&self) -> u64 {
+        self.emitted_events * self.tokens_per_event
     }
 
-    /// Replaces the reservation by what was handed out; `rows` become durable
-    /// with it. The receiver hears when they are.
+    /// Replaces the reservation with the tokens that were delivered. `rows` become
+    /// durable in the same transaction. The returned receiver yields the outcome.
     pub fn settle(&mut self, rows: Vec<RowWrite>) -> oneshot::Receiver<Outcome> {
         self.is_settled = true;
         let change = Change::Settle {
             attempt: self.attempt.clone(),
-            tokens: self.tokens(),
+            tokens: self.emitted_tokens(),
             rows,
         };
         self.gateway.commits.submit(self.program.clone(), change)
     }
 
-    /// The same where nobody waits for it: it may go with another change.
+    /// Settles the turn without waiting for the outcome. The change may be deferred and
+    /// sent together with another one.
     pub fn settle_later(&mut self) {
         self.is_settled = true;
         if let Some(grant) = self.grant.take() {
@@ -313,7 +336,7 @@
         }
         let change = Change::Settle {
             attempt: self.attempt.clone(),
-            tokens: self.tokens(),
+            tokens: self.emitted_tokens(),
             rows: Vec::new(),
         };
         self.gateway
@@ -325,11 +348,11 @@
         let change = Change::SettleGrant {
             attempt: self.attempt.clone(),
             grant: grant.id.clone(),
-            tokens: self.tokens(),
+            tokens: self.emitted_tokens(),
         };
         let outcome = self.gateway.commits.submit(self.program.clone(), change);
         let gateway = Rc::clone(&self.gateway);
-        let (program, tokens) = (self.program.clone(), self.tokens());
+        let (program, tokens) = (self.program.clone(), self.emitted_tokens());
         actix_rt::spawn(escrow::settle(gateway, program, grant, tokens, outcome));
     }
 }
@@ -341,31 +364,32 @@
         }
         match self.grant.take() {
             Some(grant) => self.settle_grant(grant),
-            // The caller may try again at once, at another host.
+            // The settlement is sent at once, because the caller may retry immediately at
+            // another host.
             None => drop(self.settle(Vec::new())),
         }
     }
 }
 
-/// What of its budget a turn must leave to escrow slots.
-fn escrow_terms(call: &Call, header: &ProgramHeader, most_tokens: u64) -> EscrowTerms {
+/// Returns the escrow slots that limit the reservation of a turn.
+fn escrow_terms(call: &Call, header: &ProgramHeader, max_output_tokens: u64) -> EscrowTerms {
     let Some(budget_tokens) = header.budget_tokens else {
         return EscrowTerms::Excluded;
     };
-    EscrowTerms::new(call.route.takes_grants(), most_tokens, budget_tokens)
+    EscrowTerms::new(call.route.takes_grants(), max_output_tokens, budget_tokens)
 }
 
-/// Ends once the store is in reach for a program.
+/// Waits until the store is reachable for a program.
 async fn until_reachable(gateway: &Gateway, program: &str) {
     while gateway.reach(program).is_err() {
-        tokio::time::sleep(REACH_POLL).await;
+        tokio::time::sleep(REACHABILITY_POLL_INTERVAL).await;
     }
 }
 
-/// Ends once the store is out of reach for a program.
+/// Waits until the store is unreachable for a program, and returns the refusal.
 async fn until_unreachable(gateway: &Gateway, program: &str) -> Refusal {
     loop {
-        tokio::time::sleep(REACH_POLL).await;
+        tokio::time::sleep(REACHABILITY_POLL_INTERVAL).await;
         if let Err(refusal) = gateway.reach(program) {
             return refusal;
         }
--- a/gateway/src/turn.rs
+++ b/gateway/src/turn.rs
@@ -60,7 +60,7 @@
     }
     if let Some(spending) = &mut spending {
         // It has run by now: that the budget is spent can't be said any more.
-        let granted = spending.granted(call).await;
+        let granted = spending.wait_until_granted(call).await;
         granted.map_err(|_| Refusal::OutcomeUnknown)?;
     }
     let kept = Kept {
--- a/gateway/src/turn_stream.rs
+++ b/gateway/src/turn_stream.rs
@@ -149,7 +149,7 @@
         while let Some(piece) = self.runs.next().await? {
             let bytes = self.pass(piece);
             if let Some(spending) = &mut self.kept.spending
-                && !spending.cover().await
+                && !spending.ensure_grant_covers_events().await
             {
                 return Err(io::Error::other("the program's escrow is spent"));
             }
@@ -220,7 +220,7 @@
 
     async fn record(&self, mut spending: Spending, record: Record) -> io::Result<()> {
         let ended = self.gateway.clock.now();
-        let turn = Arc::new(self.turn(record, spending.tokens()));
+        let turn = Arc::new(self.turn(record, spending.emitted_tokens()));
         // The limit is one of encoded bytes, of which four stand for three.
         let rows = turn.rows(self.gateway.settings().store.row_bytes / 4 * 3);
         let row_ids: Vec<RowId> = rows.iter().map(|write| write.row.clone()).collect();
@@ -234,7 +234,7 @@
                 self.keep(&turn.program, row_ids, self.call.route.retention);
                 let took = self.gateway.clock.now().saturating_sub(ended);
                 self.gateway.metrics.observe(Timing::Record, took);
-                let event = Event::new(EventKind::TurnRecorded).tokens(spending.tokens());
+                let event = Event::new(EventKind::TurnRecorded).tokens(spending.emitted_tokens());
                 self.call.trail.step(event.elapsed(took));
                 self.gateway.history.borrow_mut().insert(Arc::clone(&turn));
                 recent_history::keep(&self.gateway, turn);
