--- a/gateway/tests/budget.rs
+++ b/gateway/tests/budget.rs
@@ -1,16 +1,12 @@
-//! Programs whose budget holds a turn are never refused for it.
+//! Turns are not refused while their program's budget has room for them.
 //!
-//! What was seen: after all gateways had been killed at once, programs that
-//! went on from a kept turn were answered 402 at every host until their callers
-//! gave up, although hardly any of them had generated a token. How it came
-//! about: with each settlement, also that of a turn which had found no endpoint
-//! with room, a gateway drew the program's next turn ahead; the caller's next
-//! attempt went to another gateway, for which those tokens were as good as
-//! spent, and what a killed process had drawn stayed so for ever. Nothing is
-//! drawn ahead any more. The cause is a
-//! reservation that only its holder may use and nobody takes back. The trail of
-//! one program proved it: a reservation granted at one host, refused there for
-//! want of room, and refused for its budget at the next host 160 ms later.
+//! A reservation that only its holder can use, and that nobody reclaims, makes other
+//! hosts refuse turns although hardly any tokens were spent. Gateways used to reserve a
+//! program's next turn in advance at each settlement, even after a turn that no endpoint
+//! had accepted. The caller's next attempt, 160 ms later in one case, reached another
+//! gateway, for which those tokens were unavailable. After all gateways had been killed,
+//! the reservations remained, and the programs received 402 from every host until their
+//! callers gave up. Nothing is reserved in advance any more.
 
 mod support;
 
@@ -23,7 +19,7 @@
 
 const MODELS: usize = 0;
 
-/// A turn that may generate 100 tokens, and generates 30.
+/// Builds a turn that may generate 100 tokens and generates 30.
 fn turn(attempt: &str, budget_tokens: u64) -> Ask {
     Ask::turn(attempt, "p1", "x").header("token-budget", &budget_tokens.to_string())
 }
@@ -37,26 +33,26 @@
         ..BackendFaults::default()
     };
     site.endpoint_faults(MODELS, &full).await;
-    // The budget holds this turn and no other beside it.
+    // The budget has room for this turn and no other one.
     let refused = turn("t1", 100).send(gateways[0].front).await;
     assert_eq!(refused.status, 503);
     assert_eq!(site.times_run("t1").await, 0);
     let served = turn("t2", 100).send(gateways[1].front).await;
     assert_eq!(served.status, 200, "{}", served.body);
-    // Now 30 are spent, and it holds no more.
+    // 30 tokens are spent, and the budget has no room for another turn.
     let spent = turn("t3", 100).previous("t2").send(gateways[0].front).await;
     assert_eq!(spent.status, 402);
 }
 
 #[actix_rt::test]
-async fn what_a_killed_host_had_drawn_is_no_program_s_loss() {
+async fn unused_tokens_of_a_killed_host_remain_available() {
     let site = Site::start();
     let mut first = site.ready_gateway().await;
     let answer = turn("t1", 200).send(first.front).await;
     assert_eq!(answer.status, 200);
     first.kill();
     let second = site.ready_gateway().await;
-    // 30 tokens are spent, so that the budget holds one more turn.
+    // 30 tokens are spent, so that the budget has room for another turn.
     let next = turn("t2", 200).previous("t1");
     let answer = next.send(second.front).await;
     assert_eq!(answer.status, 200, "{}", answer.body);
@@ -68,20 +64,19 @@
     );
 }
 
-/// What was seen: a program that had spent 720 of 1,000 tokens was refused. One
-/// host had died with a draw that no turn used, another one with a turn that had
-/// reserved and reached no endpoint, and only one turn's most of gone hosts is
-/// forgiven. The cause is the draw: it is held for a turn that may never come, so
-/// that each death may leave one behind.
+/// Guards against reservations in advance, of which each death could leave one behind: a
+/// program that had spent 720 of 1,000 tokens was refused after one host had died with an
+/// unused advance reservation and another one with a turn that had reached no endpoint.
+/// Only one turn's maximum output tokens of dead hosts are written off per program.
 #[actix_rt::test]
-async fn what_two_killed_hosts_held_is_no_program_s_loss() {
-    type Asking = fn(&str, u64) -> Ask;
-    for ask in [turn as Asking, unkept as Asking] {
-        two_hosts_are_killed(ask).await;
+async fn two_killed_hosts_leave_room_for_a_turn_that_fits() {
+    type TurnBuilder = fn(&str, u64) -> Ask;
+    for ask in [turn as TurnBuilder, unrecorded as TurnBuilder] {
+        check_two_killed_hosts(ask).await;
     }
 }
 
-async fn two_hosts_are_killed(ask: impl Fn(&str, u64) -> Ask) {
+async fn check_two_killed_hosts(ask: impl Fn(&str, u64) -> Ask) {
     let site = Site::start();
     let mut first = site.ready_gateway().await;
     assert_eq!(ask("t1", 230).send(first.front).await.status, 200);
@@ -91,40 +86,40 @@
     let next = ask("t2", 230).previous("t1");
     assert_eq!(next.send(second.front).await.status, 200);
     until_settled(&second).await;
-    // The only endpoint from now on takes requests and runs none.
-    let mute = TcpListener::bind("127.0.0.1:0").unwrap();
-    site.announce_at("i-mute", "models", mute.local_addr().unwrap());
+    // From now on the only endpoint accepts requests and runs none.
+    let unresponsive = TcpListener::bind("127.0.0.1:0").unwrap();
+    site.announce_at("i-mute", "models", unresponsive.local_addr().unwrap());
     site.announce(MODELS, "draining");
-    until("only the mute endpoint is there", async || {
+    until("only the unresponsive endpoint is listed", async || {
         !second.events("endpoint-withdrawn").is_empty()
     })
     .await;
     let before = second.metric("joined_parts_total").await;
     let front = second.front;
-    let lost = ask("t3", 230).previous("t2");
-    let lost = actix_rt::spawn(async move { lost.send(front).await });
-    until("its tokens are reserved", async || {
+    let interrupted = ask("t3", 230).previous("t2");
+    let interrupted = actix_rt::spawn(async move { interrupted.send(front).await });
+    until("the tokens of the turn are reserved", async || {
         second.metric("joined_parts_total").await > before
     })
     .await;
     second.kill();
-    assert_eq!(lost.await.unwrap().status, 0);
+    assert_eq!(interrupted.await.unwrap().status, 0);
     assert_eq!(site.times_run("t3").await, 0);
     site.announce(MODELS, "ready");
     site.store.delete("servers", "i-mute");
     let third = site.ready_gateway().await;
-    // 60 tokens are spent, and nothing runs: the budget holds one more turn.
+    // 60 tokens are spent and nothing runs, so that the budget has room for another turn.
     let answer = ask("t4", 230).previous("t2").send(third.front).await;
     assert_eq!(answer.status, 200, "{}", answer.body);
 }
 
 #[actix_rt::test]
-async fn a_host_holds_nothing_for_turns_that_have_not_come() {
+async fn a_host_reserves_nothing_for_turns_that_have_not_arrived() {
     let site = Site::start();
     let gateways = site.two_ready_gateways().await;
     let [first, second] = &gateways;
     assert_eq!(turn("t1", 230).send(first.front).await.status, 200);
-    // 30 tokens are spent. Two turns at the second host need all that is left.
+    // 30 tokens are spent. Two turns at the second host need the whole rest.
     let paced = BackendFaults {
         delay_ms: 200,
         ..BackendFaults::default()
@@ -134,9 +129,9 @@
     let (one, other) = (ask("t2"), ask("t3"));
     let answers = futures_util::join!(one.send(second.front), other.send(second.front));
     assert_eq!((answers.0.status, answers.1.status), (200, 200));
-    // Nobody had to be asked for it.
+    // No holder of a reservation had to be asked.
     assert!(second.events("holders-asked").is_empty());
-    // 90 tokens are spent, and the budget holds one more turn, wherever it comes.
+    // 90 tokens are spent, and the budget has room for another turn at any host.
     let last = turn("t4", 230).previous("t2").send(first.front).await;
     assert_eq!(last.status, 200, "{}", last.body);
     let spent = turn("t5", 230).previous("t4").send(second.front).await;
@@ -152,13 +147,14 @@
         .store
         .open_door(TcpListener::bind("127.0.0.1:0").unwrap())
         .unwrap();
-    // It commits by no other host, which the store answers.
-    let cut_off = Gateway::start_strong(door.address());
+    // The gateway sends its commits to the store itself. If it used the other gateway as
+    // its batcher, its commits would still reach the store.
+    let disconnected = Gateway::start_strong(door.address());
     let other = site.gateway();
-    cut_off.until_ready().await;
+    disconnected.until_ready().await;
     other.until_ready().await;
-    // The first turn breaks off after some events; its host is cut off from the
-    // store before it can say so there.
+    // The first turn breaks off after some events, and its host is disconnected from the
+    // store before it can write the settlement.
     let breaking = BackendFaults {
         cut_bodies: 1,
         delay_ms: 100,
@@ -166,8 +162,8 @@
     };
     site.endpoint_faults(MODELS, &breaking).await;
     let broken = turn("t1", 150);
-    let cutting = async {
-        until("its tokens are reserved", async || {
+    let disconnect = async {
+        until("the tokens of the turn are reserved", async || {
             site.rows("programs") > 0
         })
         .await;
@@ -177,31 +173,32 @@
         };
         support::set_faults(&door, &silent).await;
     };
-    let (broken, ()) = futures_util::join!(broken.send(cut_off.front), cutting);
+    let (broken, ()) = futures_util::join!(broken.send(disconnected.front), disconnect);
     assert!(!broken.is_whole);
     let mut number = 2;
     loop {
         let answer = turn(&format!("t{number}"), 150).send(other.front).await;
         if answer.status == 200 {
-            // It was refused until the settlement came, or waited for it in its place:
-            // so it does when its own commit takes as long, by the host that is cut off.
-            let has_waited = number > 2 || saw_settling(&other, "t2").await;
-            assert!(has_waited, "it waited for nothing");
+            // The turn was refused until the settlement arrived, or waited for it
+            // instead. It also waits if its own commit takes equally long because the
+            // disconnected host is its batcher.
+            let has_waited = number > 2 || received_settling_state(&other, "t2").await;
+            assert!(has_waited, "the turn did not wait for the settlement");
             break;
         }
         assert_eq!(answer.status, 503, "{}", answer.body);
         assert!(answer.body.contains("budget-unsettled"), "{}", answer.body);
         assert!(answer.retry_after_s().is_some());
         number += 1;
-        assert!(number < 500, "the settlement never comes");
+        assert!(number < 500, "the settlement was not written");
         actix_rt::time::sleep(Duration::from_millis(20)).await;
     }
 }
 
-/// Whether a turn was told by the holder of another one's tokens that this one is
-/// being settled.
-async fn saw_settling(gateway: &Gateway, attempt: &str) -> bool {
-    until("the turn's end is in the log", async || {
+/// Returns whether the holder of another turn's reservation reported to this turn that
+/// the other turn is being settled.
+async fn received_settling_state(gateway: &Gateway, attempt: &str) -> bool {
+    until("the end of the turn is logged", async || {
         let ended = gateway.events("request-ended");
         let served = gateway.events("request-served");
         let mut ends = ended.iter().chain(&served);
@@ -210,19 +207,19 @@
     .await;
     let asked = gateway.events("holders-asked");
     asked.iter().any(|event| {
-        let said = event["holders"].as_str().unwrap_or_default();
-        event["attempt"] == attempt && said.ends_with(":settling")
+        let holders = event["holders"].as_str().unwrap_or_default();
+        event["attempt"] == attempt && holders.ends_with(":settling")
     })
 }
 
-/// A turn like those of [`turn`] on a route that keeps no history.
-fn unkept(attempt: &str, budget_tokens: u64) -> Ask {
+/// Builds a turn like [`turn`] on a route that keeps no history.
+fn unrecorded(attempt: &str, budget_tokens: u64) -> Ask {
     turn(attempt, budget_tokens).at("/unkept/stream/turn")
 }
 
-/// Waits for settlements that are on their way when their answers end.
+/// Waits for settlements that are still in progress after the responses have ended.
 async fn until_settled(gateway: &Gateway) {
-    until("all is settled", async || {
+    until("all turns are settled", async || {
         let page = Ask::get("/metrics").send(gateway.metrics).await.body;
         page.contains("open_changes 0")
     })
@@ -236,92 +233,99 @@
     let mut statuses = Vec::new();
     for number in 0..10 {
         let attempt = format!("t{number}");
-        let answer = unkept(&attempt, 300).send(gateways[number % 2].front).await;
+        let answer = unrecorded(&attempt, 300)
+            .send(gateways[number % 2].front)
+            .await;
         statuses.push(answer.status);
         let ran = site.times_run(&attempt).await;
         assert_eq!(ran, u64::from(answer.status == 200), "{attempt}");
     }
-    // The seventh turn finds 180 tokens spent, the eighth 210.
+    // The seventh turn finds 180 tokens spent, the eighth one 210.
     let expected: Vec<u16> = [200; 7].into_iter().chain([402; 3]).collect();
     assert_eq!(statuses, expected);
 }
 
-/// The pattern of a program that loops without end: it goes on after its budget is spent.
+/// Represents a program in an endless loop, which keeps sending turns after its budget is
+/// spent.
 #[actix_rt::test]
 async fn a_spent_budget_is_refused_without_a_read() {
     let site = Site::start();
     let gateway = site.ready_gateway().await;
     for number in 0..7 {
-        let answer = unkept(&format!("t{number}"), 300).send(gateway.front).await;
+        let answer = unrecorded(&format!("t{number}"), 300)
+            .send(gateway.front)
+            .await;
         assert_eq!(answer.status, 200);
     }
     until_settled(&gateway).await;
     let reads = "store_calls_total{call=\"read\",outcome=\"done\"}";
     let before = gateway.metric(reads).await;
     for number in 7..12 {
-        let answer = unkept(&format!("t{number}"), 300).send(gateway.front).await;
+        let answer = unrecorded(&format!("t{number}"), 300)
+            .send(gateway.front)
+            .await;
         assert_eq!(answer.status, 402);
     }
     assert_eq!(gateway.metric(reads).await, before);
 }
 
 #[actix_rt::test]
-async fn a_budget_without_history_outlives_all_hosts() {
+async fn a_ledger_without_history_survives_the_death_of_its_host() {
     let site = Site::start();
     let mut first = site.ready_gateway().await;
     for attempt in ["t1", "t2", "t3"] {
-        let answer = unkept(attempt, 190).send(first.front).await;
+        let answer = unrecorded(attempt, 190).send(first.front).await;
         assert_eq!(answer.status, 200);
     }
     until_settled(&first).await;
     first.kill();
     let second = site.ready_gateway().await;
-    assert_eq!(unkept("t4", 190).send(second.front).await.status, 200);
-    assert_eq!(unkept("t5", 190).send(second.front).await.status, 402);
+    assert_eq!(unrecorded("t4", 190).send(second.front).await.status, 200);
+    assert_eq!(unrecorded("t5", 190).send(second.front).await.status, 402);
 }
 
 #[actix_rt::test]
 async fn turns_without_history_cost_a_write_each() {
     let (site, gateway) = Site::start_with_gateway().await;
-    until("its row is written", async || {
+    until("the row of the gateway is written", async || {
         site.store.stats().transactions > 0
     })
     .await;
     let before = site.store.stats().transactions;
     for number in 0..5 {
-        let ask = unkept(&format!("t{number}"), 1_000);
+        let ask = unrecorded(&format!("t{number}"), 1_000);
         assert_eq!(ask.send(gateway.front).await.status, 200);
     }
     until_settled(&gateway).await;
-    // The first one reserved, each next one with the settlement of the one
-    // before, and the last settlement went alone.
+    // The first turn reserved in a write of its own, each further turn together with the
+    // settlement of the previous one, and the last settlement was written alone.
     assert_eq!(site.store.stats().transactions - before, 1 + 5);
-    // With the store away nobody can say that the budget holds a turn.
+    // Without the store it is unknown whether the budget has room for a turn.
     site.faults(&StoreFaults::refusing()).await;
     gateway.until_unready().await;
-    let refused = unkept("t5", 1_000).send(gateway.front).await;
+    let refused = unrecorded("t5", 1_000).send(gateway.front).await;
     assert_eq!(refused.status, 503, "{}", refused.body);
     assert!(refused.retry_after_s().is_some());
     assert_eq!(site.times_run("t5").await, 0);
 }
 
 #[actix_rt::test]
-async fn a_settlement_that_is_put_off_is_written_when_another_host_asks() {
+async fn a_deferred_settlement_is_written_when_another_host_asks() {
     let site = Site::start();
     let gateways = site.two_ready_gateways().await;
     let [first, second] = &gateways;
-    assert_eq!(unkept("t1", 150).send(first.front).await.status, 200);
-    // 30 tokens are spent. Until that is written, the turn counts 100.
-    let answer = unkept("t2", 150).send(second.front).await;
+    assert_eq!(unrecorded("t1", 150).send(first.front).await.status, 200);
+    // 30 tokens are spent. Until the settlement is written, the turn counts as 100.
+    let answer = unrecorded("t2", 150).send(second.front).await;
     assert_eq!(answer.status, 200, "{}", answer.body);
-    let spent = unkept("t3", 150).send(first.front).await;
+    let spent = unrecorded("t3", 150).send(first.front).await;
     assert_eq!(spent.status, 402, "60 tokens are spent: {}", spent.body);
 }
 
 #[actix_rt::test]
 async fn a_request_without_a_program_needs_no_store() {
     let (site, gateway) = Site::start_with_gateway().await;
-    until("its row is written", async || {
+    until("the row of the gateway is written", async || {
         site.store.stats().transactions > 0
     })
     .await;
@@ -338,21 +342,25 @@
         .store
         .open_door(TcpListener::bind("127.0.0.1:0").unwrap())
         .unwrap();
-    // It commits by no other host, which the store answers.
-    let cut_off = Gateway::start_strong(door.address());
+    // The gateway sends its commits to the store itself. If it used the other gateway as
+    // its batcher, its commits would still reach the store.
+    let disconnected = Gateway::start_strong(door.address());
     let other = site.gateway();
-    cut_off.until_ready().await;
+    disconnected.until_ready().await;
     other.until_ready().await;
-    assert_eq!(unkept("t1", 250).send(cut_off.front).await.status, 200);
-    until_settled(&cut_off).await;
-    // The second turn ends while its host is cut off.
+    assert_eq!(
+        unrecorded("t1", 250).send(disconnected.front).await.status,
+        200
+    );
+    until_settled(&disconnected).await;
+    // The second turn ends while its host is disconnected.
     let paced = BackendFaults {
         delay_ms: 100,
         ..BackendFaults::default()
     };
     site.endpoint_faults(MODELS, &paced).await;
-    let used = unkept("t2", 250);
-    let cutting = async {
+    let used = unrecorded("t2", 250);
+    let disconnect = async {
         until("the turn runs", async || site.times_run("t2").await > 0).await;
         let silent = StoreFaults {
             silent: true,
@@ -360,10 +368,10 @@
         };
         support::set_faults(&door, &silent).await;
     };
-    let (used, ()) = futures_util::join!(used.send(cut_off.front), cutting);
+    let (used, ()) = futures_util::join!(used.send(disconnected.front), disconnect);
     assert_eq!((used.status, used.is_whole), (200, true));
-    // 60 tokens are spent, so that the budget holds one turn beside another.
-    let (one, two) = (unkept("t3", 250), unkept("t4", 250));
+    // 60 tokens are spent, so that the budget has room for one turn besides another one.
+    let (one, two) = (unrecorded("t3", 250), unrecorded("t4", 250));
     let answers = futures_util::join!(one.send(other.front), two.send(other.front));
     for answer in [answers.0, answers.1] {
         assert_ne!(answer.status, 402, "{}", answer.body);
@@ -371,7 +379,7 @@
 }
 
 #[actix_rt::test]
-async fn a_host_that_stops_answers_for_the_turns_that_it_runs() {
+async fn a_stopping_host_answers_lookups_of_its_running_turns() {
     let site = Site::start();
     let stopping = site.gateway();
     let other = site.gateway();
@@ -387,11 +395,12 @@
     let asking = async {
         until("the turn runs", async || site.times_run("t2").await > 0).await;
         stopping.signal("TERM");
-        until("it stops", async || {
+        until("the gateway is stopping", async || {
             !stopping.events("process-stopping").is_empty()
         })
         .await;
-        // 30 tokens are spent and 100 may yet be: it does not hold two more.
+        // 30 tokens are spent and up to 100 are reserved, so that the budget does not
+        // have room for two more turns.
         let turns = [
             turn("t3", 230).previous("t1"),
             turn("t4", 230).previous("t1"),
@@ -407,34 +416,35 @@
 }
 
 #[actix_rt::test]
-async fn a_pause_gives_no_program_a_new_budget() {
+async fn a_pause_does_not_reset_a_budget() {
     let site = Site::start();
     let gateway = site.gateway();
     gateway.until_ready().await;
-    assert_eq!(unkept("t1", 100).send(gateway.front).await.status, 200);
-    assert_eq!(unkept("t2", 100).send(gateway.front).await.status, 402);
-    // The route names no retention, and the test's margin is 500 ms; rows that
-    // are over are looked for each second.
+    assert_eq!(unrecorded("t1", 100).send(gateway.front).await.status, 200);
+    assert_eq!(unrecorded("t2", 100).send(gateway.front).await.status, 402);
+    // The route sets no retention, and the margin in this test is 500 ms; expired rows
+    // are searched for every second.
     actix_rt::time::sleep(Duration::from_millis(3_500)).await;
-    assert_eq!(unkept("t3", 100).send(gateway.front).await.status, 402);
+    assert_eq!(unrecorded("t3", 100).send(gateway.front).await.status, 402);
 }
 
-/// A turn has ended, and its settlement is on its way: its program's next turn
-/// comes to another host.
+/// A turn has ended and its settlement is in progress when the program's next turn
+/// reaches another host.
 #[actix_rt::test]
-async fn a_settlement_on_its_way_is_waited_for() {
+async fn a_turn_waits_for_a_slow_settlement() {
     let site = Site::start();
     let door = site
         .store
         .open_door(TcpListener::bind("127.0.0.1:0").unwrap())
         .unwrap();
-    // It commits by no other host, whose store is not slow.
+    // The gateway sends its commits to the store itself. If it used the other gateway as
+    // its batcher, its commits would not be slow.
     let slow = Gateway::start_strong(door.address());
     let other = site.gateway();
     slow.until_ready().await;
     other.until_ready().await;
     for (attempt, host) in [("t1", &slow), ("t2", &other)] {
-        assert_eq!(unkept(attempt, 250).send(host.front).await.status, 200);
+        assert_eq!(unrecorded(attempt, 250).send(host.front).await.status, 200);
         until_settled(host).await;
     }
     let faults = StoreFaults {
@@ -444,20 +454,20 @@
     let faults =
         Ask::new(http::Method::POST, "/faults").body(&serde_json::json!(faults).to_string());
     assert_eq!(faults.send(door.address()).await.status, 200);
-    assert_eq!(unkept("t3", 250).send(slow.front).await.status, 200);
-    // 90 tokens of 250 are spent, and the budget holds one more turn.
-    let answer = unkept("t4", 250).send(other.front).await;
+    assert_eq!(unrecorded("t3", 250).send(slow.front).await.status, 200);
+    // 90 of 250 tokens are spent, and the budget has room for another turn.
+    let answer = unrecorded("t4", 250).send(other.front).await;
     assert_ne!(answer.status, 402, "{}", answer.body);
     until_settled(&slow).await;
-    let answer = unkept("t5", 250).send(other.front).await;
+    let answer = unrecorded("t5", 250).send(other.front).await;
     assert_eq!(answer.status, 200, "{}", answer.body);
 }
 
-/// The pattern of programs that call without end on many hosts: each refusal asks the
-/// holders of other turns, and reading where they are would cost a call to the store for
+/// Represents programs that call without end on many hosts. Each refusal asks the holders
+/// of other turns' reservations, and reading their addresses would cost a store call for
 /// each pair of hosts.
 #[actix_rt::test]
-async fn holders_that_are_listed_are_asked_without_a_read() {
+async fn listed_holders_are_asked_without_a_read() {
     let site = Site::start();
     let gateways = site.two_ready_gateways().await;
     for gateway in &gateways {
@@ -470,14 +480,14 @@
     };
     site.endpoint_faults(MODELS, &paced).await;
     let front = first.front;
-    let running = actix_rt::spawn(async move { unkept("t1", 150).send(front).await });
+    let running = actix_rt::spawn(async move { unrecorded("t1", 150).send(front).await });
     until("the turn runs", async || site.times_run("t1").await == 1).await;
     let reads = "store_calls_total{call=\"read\",outcome=\"done\"}";
     let before = second.metric(reads).await;
-    assert_eq!(unkept("t2", 150).send(second.front).await.status, 402);
-    // The ledger alone is read, once the holder has answered.
+    assert_eq!(unrecorded("t2", 150).send(second.front).await.status, 402);
+    // Only the ledger is read, after the holder has answered.
     assert_eq!(second.metric(reads).await, before + 1);
-    // Lines of the log come after answers.
+    // Log lines are written after responses are sent.
     until("the holder was asked", async || {
         !second.events("holders-asked").is_empty()
     })
