--- a/gateway/tests/outage.rs
+++ b/gateway/tests/outage.rs
@@ -1,5 +1,5 @@
-//! Turns that need nothing of the store but their budget are served while it is
-//! unavailable, and no budget is overspent for it.
+//! Turns that need the store only for their budget are served while it is unavailable,
+//! without overspending a budget.
 
 mod support;
 
@@ -8,23 +8,23 @@
 use rosebend_standin::store::StoreFaults;
 use support::{Ask, Gateway, Site, until};
 
-/// Escrow slots of all partitions.
+/// Number of escrow slots of all partitions.
 const ALL_SLOTS: u64 = 32;
-/// Tokens that the stand-in endpoint generates for a turn.
+/// Number of tokens that the stand-in endpoint generates for a turn.
 const TURN_TOKENS: u64 = 30;
-/// The most that [`turn`] may generate.
-const MOST_TOKENS: u64 = 100;
-/// Turns that a budget of 1,000 tokens holds.
-const WHOLE_BUDGET_TURNS: u64 = (1_000 - MOST_TOKENS) / TURN_TOKENS + 1;
+/// Maximum output tokens of a [`turn`].
+const MAX_OUTPUT_TOKENS: u64 = 100;
+/// Number of turns for which a budget of 1,000 tokens has room.
+const TURNS_PER_BUDGET: u64 = (1_000 - MAX_OUTPUT_TOKENS) / TURN_TOKENS + 1;
 
-/// A turn on a route that keeps no history.
+/// Builds a turn on a route that keeps no history.
 fn turn(attempt: &str, program: &str, budget_tokens: u64) -> Ask {
     Ask::turn(attempt, program, "x")
         .header("token-budget", &budget_tokens.to_string())
         .at("/unkept/stream/turn")
 }
 
-/// Two gateways that own all slots between them.
+/// Starts two gateways that together own all slots.
 async fn two_owners(site: &Site) -> [Gateway; 2] {
     let gateways = site.two_ready_gateways().await;
     until("all slots have an owner", async || {
@@ -33,15 +33,15 @@
     })
     .await;
     for gateway in &gateways {
-        know_the_owners(gateway).await;
+        until_owners_are_known(gateway).await;
     }
     gateways
 }
 
-async fn begin_outage(site: &Site, gateways: &[Gateway]) {
+async fn start_outage(site: &Site, gateways: &[Gateway]) {
     site.faults(&StoreFaults::refusing()).await;
     for gateway in gateways {
-        until("the outage is noticed", async || {
+        until("the outage is detected", async || {
             !gateway.events("store-lost").is_empty()
         })
         .await;
@@ -61,8 +61,8 @@
     }
 }
 
-/// Serves turns at both hosts until one is not served. Returns how many were, and
-/// the status of the last.
+/// Sends turns to the given hosts in rotation until one is not served. Returns the number
+/// of served turns and the status of the last response.
 async fn spend(gateways: &[Gateway], name: &str, program: &str, budget_tokens: u64) -> (u64, u16) {
     for number in 0.. {
         let gateway = &gateways[number % gateways.len()];
@@ -73,24 +73,24 @@
         }
         assert!(answer.is_whole);
     }
-    unreachable!("every budget ends")
+    unreachable!("every budget is exhausted eventually")
 }
 
 #[actix_rt::test]
-async fn a_program_without_history_begins_in_an_outage() {
+async fn a_program_without_history_starts_in_an_outage() {
     let site = Site::start();
     let gateways = two_owners(&site).await;
-    begin_outage(&site, &gateways).await;
+    start_outage(&site, &gateways).await;
     let (in_outage, status) = spend(&gateways, "a", "p1", 1_000).await;
-    // Two slots grant a quarter of the budget each, and a turn begins only where a
-    // half of its most is left.
+    // Two slots grant a quarter of the budget each, and a turn starts only if half of its
+    // maximum output tokens is left in a slot's share.
     assert_eq!((in_outage, status), (14, 503));
     let refused = Ask::turn("h1", "p2", "x").send(gateways[0].front).await;
     assert_eq!(refused.status, 503, "its history needs the store");
     assert!(refused.retry_after_s().is_some());
     end_outage(&site, &gateways).await;
     let (after, status) = spend(&gateways, "b", "p1", 1_000).await;
-    let turns = (1_000 - MOST_TOKENS) / TURN_TOKENS + 1;
+    let turns = (1_000 - MAX_OUTPUT_TOKENS) / TURN_TOKENS + 1;
     assert_eq!((in_outage + after, status), (turns, 402));
 }
 
@@ -98,7 +98,7 @@
 async fn a_small_budget_waits_for_the_store() {
     let site = Site::start();
     let gateways = two_owners(&site).await;
-    begin_outage(&site, &gateways).await;
+    start_outage(&site, &gateways).await;
     let (in_outage, status) = spend(&gateways, "a", "p1", 200).await;
     assert_eq!((in_outage, status), (0, 503));
     assert_eq!(site.times_run("a0").await, 0);
@@ -108,7 +108,7 @@
 async fn a_crash_of_all_hosts_in_an_outage_overspends_no_budget() {
     let site = Site::start();
     let mut gateways = two_owners(&site).await;
-    begin_outage(&site, &gateways).await;
+    start_outage(&site, &gateways).await;
     let (in_outage, _) = spend(&gateways, "a", "p1", 400).await;
     assert!(in_outage > 0);
     for gateway in &mut gateways {
@@ -117,10 +117,10 @@
     site.faults(&StoreFaults::default()).await;
     let gateways = site.two_ready_gateways().await;
     let (after, status) = spend(&gateways, "b", "p1", 400).await;
-    // What the dead hosts granted may be all of their shares, of which one turn's
-    // most is forgiven; whether the budget holds more nobody can tell.
+    // The dead hosts may have granted all of their shares, of which one turn's maximum
+    // output tokens are written off. Whether the budget has room for more is unknown.
     assert_eq!(status, 503);
-    assert!((in_outage + after) * TURN_TOKENS <= 400 + MOST_TOKENS);
+    assert!((in_outage + after) * TURN_TOKENS <= 400 + MAX_OUTPUT_TOKENS);
 }
 
 /// Kills hosts that hold off and have no turn to settle, and starts their next processes.
@@ -152,39 +152,39 @@
     })
     .await;
     for gateway in &gateways {
-        know_the_owners(gateway).await;
+        until_owners_are_known(gateway).await;
     }
     gateways
 }
 
-/// Waits until a host knows the owners of all slots, which may have the names of runs before
-/// them in its table. A program that spends its whole budget there needs both of its
-/// owners.
-async fn know_the_owners(gateway: &Gateway) {
+/// Waits until a host knows the owners of all slots; its table may still list earlier
+/// processes. A program that spends its whole budget at the host needs both owners of its
+/// slots.
+async fn until_owners_are_known(gateway: &Gateway) {
     let tries = Cell::new(0);
     until("the owners are known", async || {
         tries.set(tries.get() + 1);
         let program = format!("known-to-{}-{}", gateway.front.port(), tries.get());
         let (served, _) = spend(std::slice::from_ref(gateway), &program, &program, 1_000).await;
-        served == WHOLE_BUDGET_TURNS
+        served == TURNS_PER_BUDGET
     })
     .await;
 }
 
-/// Two gateways on named hosts, which own all slots between them.
+/// Starts two gateways with fixed host names that together own all slots.
 async fn two_named_owners(site: &Site) -> ([String; 2], [Gateway; 2]) {
     let hosts = [Gateway::new_host(), Gateway::new_host()];
     let gateways = hosts
         .each_ref()
         .map(|host| Gateway::start_holding_off(host, site.door.address()));
     for gateway in &gateways {
-        know_the_owners(gateway).await;
+        until_owners_are_known(gateway).await;
     }
     (hosts, gateways)
 }
 
 #[actix_rt::test]
-async fn crashes_of_all_hosts_while_the_store_is_there_cost_no_budget() {
+async fn crashes_of_all_hosts_with_the_store_available_lose_no_budget() {
     let site = Site::start();
     let (hosts, mut gateways) = two_named_owners(&site).await;
     let mut served = 0;
@@ -199,15 +199,15 @@
         gateways = kill_all_and_restart(&site, &hosts, gateways).await;
     }
     let (after, status) = spend(&gateways, "b", "p1", 1_000).await;
-    assert_eq!((served + after, status), (WHOLE_BUDGET_TURNS, 402));
+    assert_eq!((served + after, status), (TURNS_PER_BUDGET, 402));
 }
 
 #[actix_rt::test]
-async fn an_outage_soon_after_a_crash_of_all_hosts_is_served() {
+async fn turns_are_served_in_an_outage_soon_after_a_crash_of_all_hosts() {
     let site = Site::start();
     let (hosts, gateways) = two_named_owners(&site).await;
     let gateways = kill_all_and_restart(&site, &hosts, gateways).await;
-    begin_outage(&site, &gateways).await;
+    start_outage(&site, &gateways).await;
     let (in_outage, status) = spend(&gateways, "a", "p1", 1_000).await;
     assert_eq!((in_outage, status), (14, 503));
 }
@@ -216,7 +216,7 @@
 async fn a_host_that_stops_in_an_outage_hands_its_slots_over() {
     let site = Site::start();
     let mut gateways = two_owners(&site).await;
-    begin_outage(&site, &gateways).await;
+    start_outage(&site, &gateways).await;
     let (in_outage, _) = spend(&gateways, "a", "p1", 400).await;
     let [first, second] = &mut gateways;
     first.signal("TERM");
@@ -224,18 +224,18 @@
     assert_eq!(second.metric("escrow_slots").await, ALL_SLOTS);
     let served = turn("b", "p2", 400).send(second.front).await;
     assert_eq!(served.status, 200, "{}", served.body);
-    // What the first one had granted is known to the second.
+    // The second host has received the grants that the first one had made.
     let spent = turn("c", "p1", 400).send(second.front).await;
     assert_eq!(spent.status, 503);
     site.faults(&StoreFaults::default()).await;
     second.until_ready().await;
     until(
-        "the grants of the host that is left are in the ledgers",
+        "the grants of the remaining host are in the ledgers",
         async || second.metric("open_changes").await == 0,
     )
     .await;
     let (after, status) = spend(std::slice::from_ref(second), "d", "p1", 400).await;
-    let turns = (400 - MOST_TOKENS) / TURN_TOKENS + 1;
+    let turns = (400 - MAX_OUTPUT_TOKENS) / TURN_TOKENS + 1;
     assert!(
         (in_outage + after) <= turns,
         "{in_outage} and {after}, then {status}"
@@ -243,7 +243,7 @@
 }
 
 #[actix_rt::test]
-async fn a_planned_stop_leaves_the_slots_to_others() {
+async fn a_planned_stop_transfers_the_slots() {
     let site = Site::start();
     let mut gateways = two_owners(&site).await;
     let [first, second] = &mut gateways;
