--- a/gateway/src/lib.rs
+++ b/gateway/src/lib.rs
@@ -4,7 +4,7 @@
 //! | responsibility | modules |
 //! |---|---|
 //! | the steps of a request | [`front`], [`dispatch`], [`intake`], [`plain`] or [`turn`], [`exchange`], [`pool`]; all of them use a [`call`] |
-//! | the budget of a turn, and its streamed answer | [`spending`], [`escrow`], [`recall`], [`holders`], [`turn_stream`], [`runs`] |
+//! | the budget of a turn, and its streamed answer | [`spending`], [`escrow`], [`reservation_lookup`], [`holders`], [`turn_stream`], [`runs`] |
 //! | the customer of a request, and the customer's limits | [`intake`], [`limits`] |
 //! | durable state | [`commits`], [`batched_commits`], [`programs`], [`recent_history`], [`retention`] |
 //! | the process's view of routes and endpoints | [`watch`], [`unusable`], [`entries`], [`gossip`], [`quarantine`] |
@@ -39,11 +39,11 @@
 pub mod process;
 pub mod programs;
 pub mod quarantine;
-pub mod recall;
 pub mod recent_history;
 pub mod reload;
 pub mod reply;
 pub mod request_log;
+pub mod reservation_lookup;
 pub mod retention;
 pub mod runs;
 pub mod spending;
--- a/gateway/src/peers.rs
+++ b/gateway/src/peers.rs
@@ -25,7 +25,7 @@
 use self::table::PeerTable;
 use crate::feeds::{self, FollowedTable, TableUpdate};
 use crate::gateway::Gateway;
-use crate::{batched_commits, recall, recent_history};
+use crate::{batched_commits, recent_history, reservation_lookup};
 
 mod row;
 mod table;
@@ -99,7 +99,7 @@
     }
     for row in &followed.rows {
         match SlotId::from_key(&row.id.key) {
-            Some(slot) => gateway.escrow.take_row(slot, row),
+            Some(slot) => gateway.escrow.record_row(slot, row),
             None => table.apply(row),
         }
     }
@@ -198,7 +198,7 @@
         return Ok(Response::with_body(StatusCode::BAD_REQUEST, ().boxed()));
     };
     Ok(match path.as_str() {
-        recall::PATH => recall::answer(&gateway, &outgoing.body),
+        reservation_lookup::PATH => reservation_lookup::answer(&gateway, &outgoing.body),
         feeds::PATH => feeds::answer(&gateway, &outgoing.body),
         batched_commits::PATH => batched_commits::answer(&gateway, &outgoing.body),
         recent_history::ASK_PATH => recent_history::answer(&gateway, &outgoing.body),
--- a/gateway/src/process.rs
+++ b/gateway/src/process.rs
@@ -119,7 +119,7 @@
     let open = gateway.open_requests();
     log_event(&Event::new(EventKind::ProcessStopping).count(open));
     gateway.commits.send_all_deferred();
-    escrow::giving_up::begin(gateway);
+    escrow::slot_release::stop_acquiring(gateway);
     release_slots(gateway).await;
     tokio::time::sleep(ACCEPT_TIME.min(grace)).await;
     close.send_replace(true);
@@ -136,7 +136,7 @@
     }
     if !gateway.store.is_reachable() {
         let remaining = deadline.saturating_sub(gateway.clock.now());
-        tokio::time::sleep(escrow::giving_up::hand_over_wait(gateway).min(remaining)).await;
+        tokio::time::sleep(escrow::slot_release::hand_over_delay(gateway).min(remaining)).await;
     }
     // Before this, peers could request the reservations of this process's turns. A row that
     // is not deleted in time costs a peer one refused call, and slots that are not given up
@@ -156,9 +156,10 @@
 /// Releases escrow slots in the store as soon as it is reachable, because a stopping process
 /// may be killed before its end.
 async fn release_slots(gateway: &Gateway) {
-    if gateway.store.is_reachable() && gateway.escrow.has_slots_to_give_up() {
+    if gateway.store.is_reachable() && gateway.escrow.has_slots_to_release() {
         // If the write times out, the next call repeats it.
-        let _ = tokio::time::timeout(STOP_WRITE_TIMEOUT, escrow::giving_up::release(gateway)).await;
+        let _ =
+            tokio::time::timeout(STOP_WRITE_TIMEOUT, escrow::slot_release::release(gateway)).await;
     }
 }
 
@@ -167,9 +168,9 @@
 /// if the store was unavailable at the signal, or if this host received them later.
 async fn give_up_slots(gateway: &Gateway) {
     match gateway.store.is_reachable() {
-        true => escrow::giving_up::release(gateway).await,
-        false if escrow::giving_up::hand_over_wait(gateway).is_zero() => {
-            escrow::giving_up::hand_over(gateway).await;
+        true => escrow::slot_release::release(gateway).await,
+        false if escrow::slot_release::hand_over_delay(gateway).is_zero() => {
+            escrow::slot_release::hand_over(gateway).await;
         }
         false => {}
     }
--- a/gateway/src/turn.rs
+++ b/gateway/src/turn.rs
@@ -65,7 +65,7 @@
     if let Some(spending) = &mut spending {
         // The endpoint has started the turn, so the response may no longer state that the
         // turn did not run.
-        let granted = spending.granted(call).await;
+        let granted = spending.wait_until_granted(call).await;
         granted.map_err(|_| Refusal::OutcomeUnknown)?;
     }
     let durable_state = DurableState {
--- a/gateway/src/turn_stream.rs
+++ b/gateway/src/turn_stream.rs
@@ -153,7 +153,7 @@
         while let Some(chunk) = self.runs.next().await? {
             let bytes = self.process(chunk);
             if let Some(spending) = &mut self.durable_state.spending
-                && !spending.cover().await
+                && !spending.ensure_grant_covers_events().await
             {
                 return Err(io::Error::other(
                     "the turn's escrow grant could not be extended",
@@ -232,7 +232,7 @@
     /// both are durable.
     async fn commit_record(&self, mut spending: Spending, record: Record) -> io::Result<()> {
         let ended = self.gateway.clock.now();
-        let turn = Arc::new(self.build_turn(record, spending.tokens()));
+        let turn = Arc::new(self.build_turn(record, spending.emitted_tokens()));
         // The limit applies to encoded rows, where four bytes represent three.
         let rows = turn.rows(self.gateway.settings().store.row_bytes / 4 * 3);
         let row_ids: Vec<RowId> = rows.iter().map(|write| write.row.clone()).collect();
@@ -248,7 +248,7 @@
                 self.schedule_deletion(&turn.program, row_ids, self.call.route.retention);
                 let commit_time = self.gateway.clock.now().saturating_sub(ended);
                 self.gateway.metrics.observe(Timing::Record, commit_time);
-                let event = Event::new(EventKind::TurnRecorded).tokens(spending.tokens());
+                let event = Event::new(EventKind::TurnRecorded).tokens(spending.emitted_tokens());
                 self.call.request_log.add_step(event.elapsed(commit_time));
                 self.gateway.history.borrow_mut().insert(Arc::clone(&turn));
                 recent_history::cache_turn(&self.gateway, turn);
