--- a/coordination/src/owner/takeover.rs
+++ b/coordination/src/owner/takeover.rs
@@ -1,8 +1,9 @@
-//! Shards come and go.
+//! Gain, handoff and loss of shards.
 //!
-//! A new owner builds its programs from the table and from what sidecars
-//! retain. Where a call may be at an endpoint, the sidecar that got it is
-//! asked for the outcome, and the program's next call waits for the reply.
+//! A new owner restores the programs of a shard from the records in the table
+//! and from the attempts that sidecars retain. For a call that may be at an
+//! endpoint, the owner asks the sidecar that received it for the outcome. The
+//! program's next call waits for the reply.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -19,7 +20,7 @@
 use super::program::{ActiveCall, Program, Stage, Turn, TurnEnd, Unwritten, call_id};
 use super::shard::ShardState;
 
-/// What comes with a shard.
+/// The records and retained attempts from which a gained shard is restored.
 #[derive(Debug)]
 pub(super) struct Gain {
     pub(super) shard: Shard,
@@ -31,14 +32,16 @@
     pub(super) retained_after: Option<Epoch>,
 }
 
-/// What sidecars retain of one call.
+/// The attempts of one call that sidecars retain.
 #[derive(Debug, Default)]
 struct RetainedCall {
-    /// The attempts, in order.
+    /// The retained attempts by attempt number.
     attempts: BTreeMap<Attempt, RetainedTurn>,
 }
 
 impl Owner {
+    /// Restores the programs of a gained shard. Does nothing if the owner already
+    /// has the shard under the same or a higher epoch.
     pub(super) fn gain(&mut self, now: Duration, gain: Gain) {
         match self.shards.get(&gain.shard) {
             Some(state) if state.epoch >= gain.epoch => return,
@@ -46,7 +49,8 @@
             None => {}
         }
         self.shards.insert(gain.shard, ShardState::new(gain.epoch));
-        // Root programs of which sidecars retain all that is not recorded.
+        // Root programs for which the sidecars retain every call that is missing
+        // from the records.
         let mut complete = BTreeSet::new();
         for record in &gain.programs {
             let mut program = Program::from_record(gain.shard, now, record);
@@ -59,9 +63,9 @@
             }
             self.programs.insert(record.program.clone(), program);
         }
-        let mut retained = by_call(gain.retained);
+        let mut retained = group_by_call(gain.retained);
         if gain.retained_after.is_none() {
-            add_under_way(&mut retained, gain.under_way);
+            add_reported_in_flight(&mut retained, gain.under_way);
         }
         let mut open_turns = BTreeMap::new();
         for record in gain.turns {
@@ -83,8 +87,8 @@
         self.draw_ahead(gain.shard);
     }
 
-    /// Draws for the open programs of a shard, so that they can go on if the
-    /// table fails before their next calls come.
+    /// Draws budget for the open programs of a shard, so that they can continue
+    /// if the table fails before their next calls arrive.
     fn draw_ahead(&mut self, shard: Shard) {
         let chunk_tokens = self.config.budget_chunk_tokens;
         let mut drawn = Vec::new();
@@ -102,8 +106,8 @@
         }
     }
 
-    /// Takes a program's last call out of its history if it has not run, so
-    /// that it can go again.
+    /// Removes a program's last call from its history and returns it if it has
+    /// not run, so that it can be dispatched again.
     fn last_not_run(&mut self, id: &ProgramId) -> Option<ActiveCall> {
         let program = self.programs.get_mut(id)?;
         let sequence = program.next_sequence - 1;
@@ -114,8 +118,9 @@
         Some(ActiveCall::from_turn(sequence, attempt, turn))
     }
 
-    /// Restores a call that has ended, as the table has it; one that has not
-    /// becomes its program's active call.
+    /// Restores a call from its record in the table. A call that has ended joins
+    /// the program's history. A call that has not ended is added to
+    /// `open_turns`.
     fn restore_turn(
         &mut self,
         record: TurnRecord,
@@ -129,7 +134,7 @@
         };
         program.next_sequence = program.next_sequence.max(call.sequence + 1);
         let Some(turn) = Turn::from_record(&record) else {
-            let mut active = restored(&record);
+            let mut active = active_call(&record);
             active.is_counted = !is_complete;
             open_turns.insert(call.program, active);
             return;
@@ -138,12 +143,14 @@
             program.keys.insert(key.clone(), call.sequence);
         }
         program.turns.insert(call.sequence, turn);
-        // Its end is durable, so the sidecars may drop what they keep.
+        // The end of the call is durable, so the sidecars may drop their copies.
         if let Some(retained) = retained.remove(&call) {
             self.acknowledge_retained(&call, retained);
         }
     }
 
+    /// Acknowledges all retained attempts of a call, so that the sidecars may
+    /// drop them.
     fn acknowledge_retained(&mut self, call: &CallId, retained: RetainedCall) {
         let shard = call.program.shard(self.config.shard_count);
         for retained in retained.attempts.into_values() {
@@ -153,8 +160,9 @@
         }
     }
 
-    /// Restores a call whose end the last owner had not written. Its newest
-    /// attempt counts: followers can have been told of no other.
+    /// Restores a call whose end the previous owner did not write. The newest
+    /// attempt decides the outcome, because followers cannot have received the
+    /// outcome of any other attempt.
     fn restore_retained(
         &mut self,
         call: &CallId,
@@ -173,9 +181,9 @@
             .iter()
             .filter_map(|attempt| placement_of(&attempt.turn))
             .collect();
-        let earlier_tokens: u64 = attempts.iter().map(own_tokens).sum();
-        let newest_tokens = own_tokens(&newest);
-        let mut active = restored(&newest.turn);
+        let earlier_tokens: u64 = attempts.iter().map(attempt_tokens).sum();
+        let newest_tokens = attempt_tokens(&newest);
+        let mut active = active_call(&newest.turn);
         active.attempt = newest.attempt;
         let known = open_turns.get(&call.program);
         let is_older = known.is_some_and(|known| {
@@ -210,7 +218,7 @@
         }
     }
 
-    /// Restores an answer that is not in the table yet.
+    /// Restores an answer that is not yet in the table and marks it for writing.
     fn restore_answer(&mut self, active: ActiveCall, id: &ProgramId, answer: AnswerRecord) {
         let sequence = active.sequence;
         let mut acknowledge = active.earlier.clone();
@@ -227,14 +235,14 @@
         self.mark_end(&call_id(id, sequence));
     }
 
-    /// Ends a call that a later one of its program proves to have ended, with
-    /// an end that is lost.
+    /// Ends a call whose end was lost. A later call of the same program proves
+    /// that the call has ended.
     fn restore_superseded(&mut self, id: &ProgramId, call: ActiveCall) {
         let sequence = call.sequence;
         if let Some(account) = self.account_of(id) {
             account.settle(0, call.reserved_tokens);
         }
-        let program = self.programs.get(id).expect("restore_retained() saw it");
+        let program = self.programs.get(id).expect("the caller found the program");
         let is_later = program.active.is_some() || program.next_sequence > sequence + 1;
         if !is_later || matches!(call.stage, Stage::Parked) {
             return;
@@ -255,6 +263,7 @@
         self.mark_end(&call_id(id, sequence));
     }
 
+    /// Adds an ended call whose end is not yet durable to its program's history.
     fn insert_unwritten(
         &mut self,
         id: &ProgramId,
@@ -272,7 +281,8 @@
             .insert(sequence, Turn::unwritten(call, end, unwritten));
     }
 
-    /// Restores a call that has not ended, and asks its sidecar about it.
+    /// Restores a call that has not ended, and asks its sidecar for the outcome
+    /// if the call was sent to one.
     fn restore_active(&mut self, now: Duration, id: &ProgramId, active: ActiveCall) {
         let program = self.programs.get_mut(id).expect("its record was read");
         if active.sequence + 1 < program.next_sequence {
@@ -293,8 +303,9 @@
         }
     }
 
-    /// Forgets a shard that has another owner. Nothing of it is written or
-    /// sent any more, so whoever waits here is sent on.
+    /// Drops the state of a shard that has another owner. This owner no longer
+    /// writes or sends anything for the shard, so waiting callers and followers
+    /// are redirected or asked to retry.
     pub(super) fn lose(&mut self, shard: Shard) {
         if self.shards.remove(&shard).is_none() {
             return;
@@ -306,12 +317,14 @@
         let ids: Vec<ProgramId> = ids.map(|(id, _)| id.clone()).collect();
         for id in ids {
             if let Some(program) = self.programs.remove(&id) {
-                self.forget(&id, program);
+                self.discard_program(&id, program);
             }
         }
     }
 
-    fn forget(&mut self, id: &ProgramId, program: Program) {
+    /// Replies to everyone who waits for a program of a lost shard, and removes
+    /// the program's unwritten ends from the counts.
+    fn discard_program(&mut self, id: &ProgramId, program: Program) {
         for ticket in program.openers.into_iter().chain(program.enders) {
             let retry_after = self.retry_after();
             self.reply(ticket, Reply::Undecided { retry_after });
@@ -325,24 +338,25 @@
             let answer = unwritten.answer.as_ref();
             self.uncommitted_bytes -= answer.map_or(0, |answer| answer.body_bytes());
             if !unwritten.is_told {
-                self.move_on(id, sequence);
+                self.report_moved(id, sequence);
             }
         }
         let active = program.active;
         if let Some(active) = active.filter(|call| !matches!(call.stage, Stage::Parked)) {
-            self.move_on(id, active.sequence);
+            self.report_moved(id, active.sequence);
         }
     }
 
-    fn move_on(&mut self, id: &ProgramId, sequence: u64) {
+    /// Reports to the followers of a call that its shard has another owner.
+    fn report_moved(&mut self, id: &ProgramId, sequence: u64) {
         self.out.push(Action::CallEnded {
             call: call_id(id, sequence),
             outcome: CallOutcome::Moved,
         });
     }
 
-    /// Takes calls of a shard again whose handoff failed. The next try drains
-    /// it anew.
+    /// Accepts calls again for a shard whose handoff failed. The next handoff
+    /// drains the shard again.
     pub(super) fn stay(&mut self, shard: Shard) {
         if let Some(state) = self.shards.get_mut(&shard) {
             state.is_leaving = false;
@@ -350,7 +364,8 @@
         }
     }
 
-    /// Takes no new calls of a shard, and lets those at endpoints end.
+    /// Stops accepting calls for a shard that is to be handed over. Calls at
+    /// endpoints continue. Waiting and unsent calls are refused.
     pub(super) fn leave(&mut self, now: Duration, shard: Shard) {
         let Some(state) = self.shards.get_mut(&shard) else {
             return;
@@ -376,8 +391,8 @@
     }
 }
 
-/// The account of a root program. What the last owner drew counts as spent,
-/// unless sidecars tell all that ran.
+/// Returns the account of a root program. All tokens that the previous owner
+/// drew count as spent, unless the sidecars reported every call that ran.
 fn account(record: &ProgramRecord, is_complete: bool) -> Box<Account> {
     let mut account = Account::new(record.budget_tokens);
     account.drawn_tokens = record.drawn_tokens;
@@ -389,7 +404,8 @@
     Box::new(account)
 }
 
-fn by_call(retained: Vec<RetainedTurn>) -> BTreeMap<CallId, RetainedCall> {
+/// Groups retained attempts by call.
+fn group_by_call(retained: Vec<RetainedTurn>) -> BTreeMap<CallId, RetainedCall> {
     let mut calls: BTreeMap<CallId, RetainedCall> = BTreeMap::new();
     for retained in retained {
         let attempts = &mut calls
@@ -401,9 +417,13 @@
     calls
 }
 
-/// Adds calls that the last owner knew to be at endpoints. A sidecar that told
-/// what it has knows better; the others may have these, and are asked.
-fn add_under_way(retained: &mut BTreeMap<CallId, RetainedCall>, under_way: Vec<TurnRecord>) {
+/// Adds calls that were at endpoints according to the previous owner. An attempt
+/// that a sidecar already reported takes precedence. The other sidecars may
+/// hold these calls and are asked for the outcome.
+fn add_reported_in_flight(
+    retained: &mut BTreeMap<CallId, RetainedCall>,
+    under_way: Vec<TurnRecord>,
+) {
     for turn in under_way {
         let call = retained.entry(turn.call.clone()).or_default();
         let attempt = attempt_of(&turn);
@@ -416,6 +436,7 @@
     }
 }
 
+/// Returns the attempt that a record names, or zero for an ended call.
 fn attempt_of(record: &TurnRecord) -> Attempt {
     match record.state {
         TurnState::Intent { attempt, .. } | TurnState::NotRun { attempt } => attempt,
@@ -423,6 +444,7 @@
     }
 }
 
+/// Returns the sidecar to which the call of an intent record was sent.
 fn placement_of(record: &TurnRecord) -> Option<Placement> {
     match &record.state {
         TurnState::Intent {
@@ -437,8 +459,8 @@
     }
 }
 
-/// What a retained attempt spent, or may spend yet.
-fn own_tokens(retained: &RetainedTurn) -> u64 {
+/// Returns the tokens that a retained attempt spent, or reserves while it runs.
+fn attempt_tokens(retained: &RetainedTurn) -> u64 {
     let reserved_tokens = match retained.turn.state {
         TurnState::Intent {
             reserved_tokens, ..
@@ -449,8 +471,8 @@
     answer.map_or(reserved_tokens, AnswerRecord::spent_tokens)
 }
 
-/// A call that has not ended as its record has it.
-fn restored(record: &TurnRecord) -> ActiveCall {
+/// Builds the active call from the record of a call that has not ended.
+fn active_call(record: &TurnRecord) -> ActiveCall {
     let stage = match placement_of(record) {
         Some(placement) => Stage::InFlight(placement),
         None => Stage::Parked,
