--- a/coordination/src/owner/durable.rs
+++ b/coordination/src/owner/durable.rs
@@ -1,4 +1,8 @@
-//! What is to be written, and what follows once it is.
+//! Commits of dirty records to the table.
+//!
+//! Records that change are marked and written with the next commit of their
+//! shard. When a commit is durable, the owner sends the replies and
+//! acknowledgements that waited for it.
 
 use std::time::Duration;
 
@@ -12,7 +16,7 @@
 use super::shard::{CommitInFlight, WrittenProgram, WrittenState, WrittenTurn};
 
 impl Owner {
-    /// Has a program's record written with the next commit.
+    /// Marks a program's record for the next commit.
     pub(super) fn mark_program(&mut self, id: &ProgramId) {
         let shard = id.shard(self.config.shard_count);
         if let Some(state) = self.shards.get_mut(&shard) {
@@ -20,16 +24,17 @@
         }
     }
 
-    /// Has the end of a call, or that it has not run, written with the next
-    /// commit, and with it what its program has spent: a later owner takes
-    /// what sidecars retain of such a call as counted.
+    /// Marks the record of a call that ended or did not run for the next commit,
+    /// together with the records that hold its program's spending. All of them
+    /// must change in one commit, because a later owner assumes that the
+    /// spending includes what sidecars retain of such a call.
     pub(super) fn mark_end(&mut self, call: &CallId) {
         self.mark_turn(call);
         self.mark_program(&call.program);
         self.mark_program(&call.program.root());
     }
 
-    /// Has a call's record written with the next commit.
+    /// Marks a call's record for the next commit.
     pub(super) fn mark_turn(&mut self, call: &CallId) {
         let shard = call.program.shard(self.config.shard_count);
         if let Some(state) = self.shards.get_mut(&shard) {
@@ -37,9 +42,9 @@
         }
     }
 
-    /// Gives out what is to be written, a commit for each shard. During an
-    /// outage it is held back, so that a record that changes again is written
-    /// once.
+    /// Issues one commit for each shard with dirty records. During an outage of
+    /// the table nothing is issued, so that a record that changes again is
+    /// written only once.
     pub(super) fn flush(&mut self, now: Duration) {
         if !self.is_answering {
             return;
@@ -52,8 +57,12 @@
         self.report_drained();
     }
 
+    /// Issues a commit with all dirty records of a shard.
     fn commit(&mut self, now: Duration, shard: Shard) {
-        let state = self.shards.get_mut(&shard).expect("flush() saw it");
+        let state = self
+            .shards
+            .get_mut(&shard)
+            .expect("flush() found the shard");
         let epoch = state.epoch;
         let dirty_programs = std::mem::take(&mut state.dirty_programs);
         let dirty_turns = std::mem::take(&mut state.dirty_turns);
@@ -89,7 +98,10 @@
                 })
                 .collect(),
         };
-        let state = self.shards.get_mut(&shard).expect("flush() saw it");
+        let state = self
+            .shards
+            .get_mut(&shard)
+            .expect("flush() found the shard");
         state.in_flight.push_back(in_flight);
         self.out.push(Action::Commit {
             commit: id,
@@ -100,15 +112,15 @@
         });
     }
 
-    /// The durable records of a shard, for the successor to which it is handed
-    /// over, so that this need not wait for the table. Answers are left out,
-    /// which are read from the table when a caller asks for one. Calls at
-    /// endpoints that have no record yet are told beside them, so that the
-    /// successor knows of them even if their sidecars cannot be asked just now.
+    /// Returns the durable records of a shard for the successor of a handoff, so
+    /// that the successor does not have to read the table. Answers are omitted;
+    /// they are read from the table when a caller requests one. Calls at
+    /// endpoints that have no record yet are listed separately, so that the
+    /// successor can restore them even if their sidecars cannot be reached.
     ///
-    /// None while anything is to be written: calls at endpoints may end after a
-    /// shard was drained, and the successor must not take such an end as
-    /// durable. It reads the table then.
+    /// Returns `None` while any record is not yet durable: a call at an endpoint
+    /// may end after the shard was drained, and the successor must not treat
+    /// such an end as durable. The successor then reads the table.
     pub fn records(&self, now: Duration, shard: Shard) -> Option<ShardRecords> {
         let state = self.shards.get(&shard).filter(|state| state.is_written())?;
         let mut records = ShardRecords::default();
@@ -128,6 +140,7 @@
         Some(records)
     }
 
+    /// Returns the current record of a call, if it has one to write.
     fn turn_record(&self, call: &CallId) -> Option<rosebend_state::record::TurnRecord> {
         let program = self.programs.get(&call.program)?;
         if let Some(turn) = program.turns.get(&call.sequence) {
@@ -138,7 +151,7 @@
             .then(|| active.record(&call.program))
     }
 
-    /// Takes note that a commit, and all of its shard before it, is durable.
+    /// Handles a durable commit, and all earlier commits of its shard with it.
     pub(super) fn committed(&mut self, now: Duration, commit: CommitId) {
         let is_of = |state: &super::shard::ShardState| {
             state
@@ -161,6 +174,7 @@
         }
     }
 
+    /// Handles the records of one durable commit.
     fn written(&mut self, now: Duration, written: CommitInFlight) {
         for program in written.programs {
             self.program_written(now, &program);
@@ -175,6 +189,8 @@
         }
     }
 
+    /// Replies to callers that waited for a program's record to become durable,
+    /// and makes the durably drawn budget available.
     fn program_written(&mut self, now: Duration, written: &WrittenProgram) {
         let id = &written.program;
         let Some(program) = self.programs.get_mut(id) else {
@@ -201,8 +217,8 @@
         self.wake_waiters(now, id);
     }
 
-    /// Takes note that a call's end is durable: followers are told, and the
-    /// sidecars may drop what they keep of it.
+    /// Handles the durable end of a call: reports the outcome to followers, and
+    /// acknowledges the answer so that the sidecars may drop their copies.
     fn end_written(&mut self, call: &CallId) {
         let id = &call.program;
         let is_there = self
@@ -213,8 +229,11 @@
             return;
         }
         self.tell_end(id, call.sequence);
-        let program = self.programs.get_mut(id).expect("seen above");
-        let turn = program.turns.get_mut(&call.sequence).expect("seen above");
+        let program = self.programs.get_mut(id).expect("checked above");
+        let turn = program
+            .turns
+            .get_mut(&call.sequence)
+            .expect("checked above");
         let shard = program.shard;
         let Some(unwritten) = turn.unwritten.take() else {
             return;
@@ -230,6 +249,7 @@
         }
     }
 
+    /// Allows a sidecar to drop the retained answer of a call.
     pub(super) fn acknowledge(
         &mut self,
         call: &CallId,
@@ -246,17 +266,21 @@
         }
     }
 
-    /// Says which leaving shards have nothing left to wait for: all records are
-    /// written, and no call is about to be sent. The next owner finds the calls
-    /// at endpoints with their sidecars, as after a takeover; waiting for them
-    /// would keep every program of the shard waiting for the slowest tool.
+    /// Reports the leaving shards that are drained: all of their records are
+    /// durable, and no call is about to be sent. Calls at endpoints do not delay
+    /// the handoff, because every program of the shard would wait for the
+    /// slowest tool. The next owner restores these calls from the sidecars, as
+    /// after a takeover.
     fn report_drained(&mut self) {
-        let is_quiet = |shard: Shard| {
+        let has_nothing_to_send = |shard: Shard| {
             let mut programs = self.programs.values();
             programs.all(|program| program.shard != shard || !program.is_sending())
         };
         let leaving = self.shards.iter().filter(|(shard, state)| {
-            state.is_leaving && !state.is_drained && state.is_written() && is_quiet(**shard)
+            state.is_leaving
+                && !state.is_drained
+                && state.is_written()
+                && has_nothing_to_send(**shard)
         });
         let drained: Vec<Shard> = leaving.map(|(shard, _)| *shard).collect();
         for shard in drained {
