--- a/coordination/src/owner/lifecycle.rs
+++ b/coordination/src/owner/lifecycle.rs
@@ -1,4 +1,4 @@
-//! Programs are opened, and end.
+//! Opening and ending of programs.
 
 use std::time::Duration;
 
@@ -11,7 +11,7 @@
 use super::event::Ticket;
 use super::program::{Program, Stage};
 
-/// How a program is to be opened.
+/// The parameters with which a program is opened.
 #[derive(Debug)]
 pub(super) struct Opening {
     pub(super) program: ProgramId,
@@ -22,6 +22,9 @@
 }
 
 impl Owner {
+    /// Opens a program, or replies that it is already open if the same
+    /// request opened it. The caller gets the reply once the record is
+    /// durable.
     pub(super) fn open(&mut self, now: Duration, ticket: Ticket, opening: Opening) {
         let shard = opening.program.shard(self.config.shard_count);
         match self.shards.get(&shard) {
@@ -32,7 +35,7 @@
             Some(_) => {}
         }
         if let Some(program) = self.programs.get_mut(&opening.program) {
-            return match reopening(program, &opening) {
+            return match reopen_refusal(program, &opening) {
                 Some(reason) => self.refuse(ticket, reason),
                 None if program.is_durable => self.reply(ticket, Reply::Opened { created: false }),
                 None if self.is_answering => program.openers.push(ticket),
@@ -59,14 +62,14 @@
         self.programs.insert(opening.program, program);
     }
 
-    /// An account of which the first chunk is drawn with the opening itself.
+    /// Returns an account that draws its first chunk in the commit of the opening.
     fn new_account(&self, budget_tokens: u64) -> Box<Account> {
         let mut account = Account::new(budget_tokens);
         account.drawn_tokens = budget_tokens.min(self.config.budget_chunk_tokens);
         Box::new(account)
     }
 
-    /// Why a sub-agent can't be opened under its parent.
+    /// Returns the reason why a sub-agent cannot be opened under its parent.
     fn parent_refusal(&self, id: &ProgramId) -> Option<RefusalReason> {
         let parent = id.parent()?;
         match self.programs.get(&parent) {
@@ -75,6 +78,9 @@
         }
     }
 
+    /// Ends a program and its sub-agents at the request of a caller, or of the
+    /// owner itself if there is no ticket. The caller gets the reply when the
+    /// end is durable.
     pub(super) fn end(
         &mut self,
         now: Duration,
@@ -86,7 +92,8 @@
         let refusal = match self.programs.get(id) {
             _ if !is_owned => Some(RefusalReason::NotOwner),
             None => Some(RefusalReason::UnknownProgram),
-            // What is told to be ended must stay ended.
+            // A program that was reported as ended must stay ended, and during an
+            // outage of the table its end cannot be made durable.
             Some(_) if !self.is_answering && ticket.is_some() => {
                 Some(RefusalReason::TableUnavailable)
             }
@@ -99,11 +106,11 @@
         }
         self.end_tree(now, id, reason);
         self.mark_program(id);
-        let program = self.programs.get_mut(id).expect("seen above");
+        let program = self.programs.get_mut(id).expect("checked above");
         program.enders.extend(ticket);
     }
 
-    /// Ends a program that reached a limit.
+    /// Ends a program that reached a limit, and counts the limit.
     pub(super) fn end_by_limit(&mut self, now: Duration, id: &ProgramId, reason: EndReason) {
         self.count(Metric::LimitReached(reason));
         self.end_tree(now, id, reason);
@@ -117,6 +124,7 @@
         self.end_one(now, id, reason);
     }
 
+    /// Returns the sub-agents of a program at all levels.
     fn descendants(&self, id: &ProgramId) -> Vec<ProgramId> {
         let prefix = format!("{}/", id.session());
         self.programs
@@ -130,10 +138,13 @@
             .collect()
     }
 
-    /// Ends one program. A call that is at an endpoint runs to its end; the
-    /// others are refused.
+    /// Ends one program. A call at an endpoint runs to completion. Calls that
+    /// wait or have not been sent are refused.
     fn end_one(&mut self, now: Duration, id: &ProgramId, reason: EndReason) {
-        let program = self.programs.get_mut(id).expect("it is known");
+        let program = self
+            .programs
+            .get_mut(id)
+            .expect("the caller found the program");
         if program.end_reason().is_some() {
             return;
         }
@@ -155,8 +166,8 @@
     }
 }
 
-/// Why a program that is known can't be opened again.
-fn reopening(program: &Program, opening: &Opening) -> Option<RefusalReason> {
+/// Returns the reason why an existing program cannot be opened again.
+fn reopen_refusal(program: &Program, opening: &Opening) -> Option<RefusalReason> {
     if *program.body_digest != *opening.body_digest {
         return Some(RefusalReason::AlreadyOpen);
     }
