--- a/coordination/src/owner/clock.rs
+++ b/coordination/src/owner/clock.rs
@@ -1,4 +1,7 @@
-//! What the passing of time and outages of the table bring.
+//! Effects of the passing of time and of table outages.
+//!
+//! Ticks enforce limits, deadlines and timeouts, and repeat claims. When the
+//! table stops answering, calls that cannot continue without it are refused.
 
 use std::time::Duration;
 
@@ -11,11 +14,12 @@
 use super::program::{Program, Stage, Waiting};
 
 impl Owner {
+    /// Handles everything that is due at `now`.
     pub(super) fn tick(&mut self, now: Duration) {
         let due = self
             .programs
             .iter()
-            .filter(|(_, program)| wants_tick(now, program));
+            .filter(|(_, program)| may_be_due(now, program));
         let due: Vec<ProgramId> = due.map(|(id, _)| id.clone()).collect();
         for id in due {
             self.tick_program(now, &id);
@@ -28,14 +32,14 @@
             self.end_by_limit(now, id, EndReason::WallLimit);
         }
         self.refuse_overdue(now, id);
-        self.ask_again(now, id);
+        self.retry_claim(now, id);
     }
 
-    /// Refuses calls that waited too long for the one before them, or past
-    /// their deadline.
+    /// Refuses calls that have waited too long for a preceding call, or whose
+    /// deadline has passed.
     fn refuse_overdue(&mut self, now: Duration, id: &ProgramId) {
         let gap_wait = self.config.gap_wait;
-        let program = self.programs.get_mut(id).expect("tick() saw it");
+        let program = self.programs.get_mut(id).expect("tick() found the program");
         let mut refused = Vec::new();
         program.waiting.retain(|waiting| {
             let reason = overdue(now, gap_wait, waiting);
@@ -58,11 +62,12 @@
         }
     }
 
-    /// Asks a silent sidecar again for a call's outcome, or gives up.
-    fn ask_again(&mut self, now: Duration, id: &ProgramId) {
+    /// Sends another claim for a call's outcome to a sidecar that has not
+    /// replied, or ends the claim if its timeout has passed.
+    fn retry_claim(&mut self, now: Duration, id: &ProgramId) {
         let interval = self.config.claim_interval;
         let claim_wait = self.config.claim_wait;
-        let program = self.programs.get_mut(id).expect("tick() saw it");
+        let program = self.programs.get_mut(id).expect("tick() found the program");
         let Some(active) = program.active.as_deref_mut() else {
             return;
         };
@@ -78,37 +83,42 @@
         }
     }
 
+    /// Records whether the table answers, and handles the start of an outage.
     pub(super) fn table_state(&mut self, now: Duration, is_answering: bool) {
         let was_answering = std::mem::replace(&mut self.is_answering, is_answering);
         if was_answering && !is_answering {
             let ids: Vec<ProgramId> = self.programs.keys().cloned().collect();
             for id in ids {
-                self.lose_table(now, &id);
+                self.start_outage(now, &id);
             }
         }
     }
 
-    /// Refuses at once what needs the table, and tells the ends that waited
-    /// for it: now the sidecar's copy is the second one.
-    fn lose_table(&mut self, now: Duration, id: &ProgramId) {
-        let program = self.programs.get_mut(id).expect("table_state() saw it");
+    /// Refuses a program's requests and calls that need the table. Reports the
+    /// ends that waited for the table to followers: during an outage, the copy
+    /// at the sidecar replaces the copy in the table.
+    fn start_outage(&mut self, now: Duration, id: &ProgramId) {
+        let program = self
+            .programs
+            .get_mut(id)
+            .expect("table_state() found the program");
         let mut undecided = std::mem::take(&mut program.openers);
         undecided.append(&mut program.enders);
         let (refused, kept) = std::mem::take(&mut program.waiting)
             .into_iter()
             .partition(|waiting| !waiting.request.repeatable);
         program.waiting = kept;
-        let untold = program.turns.iter().filter(|(_, turn)| {
+        let unreported = program.turns.iter().filter(|(_, turn)| {
             let unwritten = turn.unwritten.as_ref();
             unwritten.is_some_and(|unwritten| !unwritten.is_told)
         });
-        let untold: Vec<_> = untold.map(|(sequence, _)| *sequence).collect();
+        let unreported: Vec<_> = unreported.map(|(sequence, _)| *sequence).collect();
         for ticket in undecided {
             let retry_after = self.retry_after();
             self.reply(ticket, Reply::Undecided { retry_after });
         }
         self.refuse_waiting(refused, RefusalReason::TableUnavailable);
-        for sequence in untold {
+        for sequence in unreported {
             self.tell_end(id, sequence);
         }
         if self.needs_table(id) {
@@ -117,7 +127,7 @@
         }
     }
 
-    /// Whether the active call can't go on without the table.
+    /// Returns whether the active call cannot continue without the table.
     fn needs_table(&mut self, id: &ProgramId) -> bool {
         let Some(active) = self.programs[id].active.as_deref() else {
             return false;
@@ -138,8 +148,8 @@
     }
 }
 
-/// Whether something about a program may be due.
-fn wants_tick(now: Duration, program: &Program) -> bool {
+/// Returns whether a limit, deadline, timeout or claim of a program may be due.
+fn may_be_due(now: Duration, program: &Program) -> bool {
     let is_past_limit = program.end_reason().is_none() && program.age(now) >= program.wall_limit;
     let active = program.active.as_deref();
     let waits_for_time = active
@@ -147,7 +157,7 @@
     is_past_limit || waits_for_time || !program.waiting.is_empty()
 }
 
-/// Why a call has waited too long, if it has.
+/// Returns the reason why a waiting call is refused, if it has waited too long.
 fn overdue(now: Duration, gap_wait: Duration, waiting: &Waiting) -> Option<RefusalReason> {
     let deadline = waiting.request.deadline;
     if deadline.is_some_and(|deadline| deadline <= now) {
