--- a/coordination/src/owner/account.rs
+++ b/coordination/src/owner/account.rs
@@ -1,45 +1,45 @@
 //! The budget of a program and its sub-agents, held in escrow.
 //!
 //! The owner draws a part of the budget durably and spends from it in memory.
-//! Each dispatch first reserves its worst case, so what runs at once never
-//! passes what was drawn; when a call ends, its reservation is settled by what
-//! it really spent.
+//! Each dispatch first reserves its worst case, so that concurrent calls never
+//! exceed the tokens that were drawn. When a call ends, its reservation is
+//! replaced by the tokens that it actually spent.
 
 use rosebend_state::id::ProgramId;
 
-/// What became of a wish to reserve.
+/// The result of an attempt to reserve tokens.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(super) enum Reservation {
-    /// It is reserved.
+    /// The tokens are reserved.
     Granted,
-    /// More must be drawn durably first.
+    /// More tokens must first be drawn durably.
     Draw,
-    /// Calls in flight hold what is left; one of them must end first.
+    /// Calls in flight reserve the rest of the budget; one of them must end first.
     Wait,
-    /// The budget does not cover it.
+    /// The budget does not cover the worst case.
     Exhausted,
 }
 
 /// The budget of a root program.
 #[derive(Debug, Default)]
 pub(super) struct Account {
-    /// The most that may ever be spent.
+    /// Upper bound of the tokens that may ever be spent.
     pub(super) budget_tokens: u64,
-    /// What the next record says is drawn; at most the budget.
+    /// Drawn tokens that the next record will state; at most the budget.
     pub(super) drawn_tokens: u64,
-    /// What the table says is drawn; at most `drawn_tokens`.
+    /// Drawn tokens according to the table; at most `drawn_tokens`.
     pub(super) durable_tokens: u64,
-    /// What ended calls spent.
+    /// Tokens that ended calls spent.
     pub(super) spent_tokens: u64,
-    /// Worst cases of calls in flight; with `spent_tokens` at most
-    /// `durable_tokens`.
+    /// Sum of the worst cases of calls in flight. Together with `spent_tokens`
+    /// it is at most `durable_tokens`.
     pub(super) reserved_tokens: u64,
-    /// Programs whose call waits for a reservation, in the order they came.
+    /// Programs whose call waits for a reservation, in order of arrival.
     pub(super) waiters: Vec<ProgramId>,
 }
 
 impl Account {
-    /// An account of which nothing is drawn yet.
+    /// Creates an account from which no tokens are drawn yet.
     pub(super) fn new(budget_tokens: u64) -> Self {
         Self {
             budget_tokens,
@@ -47,12 +47,13 @@
         }
     }
 
-    /// Whether the budget can't cover a worst case, whatever else ends.
+    /// Returns whether the budget cannot cover a worst case, even after all calls
+    /// in flight have ended.
     pub(super) fn is_short_of(&self, worst_case_tokens: u64) -> bool {
         self.spent_tokens.saturating_add(worst_case_tokens) > self.budget_tokens
     }
 
-    /// What stands before a reservation of this worst case.
+    /// Returns the result that a reservation of this worst case would have.
     pub(super) fn prospect(&self, worst_case_tokens: u64) -> Reservation {
         if self.is_short_of(worst_case_tokens) {
             return Reservation::Exhausted;
@@ -67,8 +68,8 @@
         }
     }
 
-    /// Reserves a worst case, or tells what must come first. Draws ahead when
-    /// less than half a chunk is left, so that few calls wait for the table.
+    /// Reserves a worst case, or returns what must happen first. Draws in advance
+    /// when less than half a chunk is left, so that few calls wait for the table.
     pub(super) fn reserve(&mut self, worst_case_tokens: u64, chunk_tokens: u64) -> Reservation {
         let prospect = self.prospect(worst_case_tokens);
         if matches!(prospect, Reservation::Draw | Reservation::Granted) {
@@ -81,43 +82,48 @@
         prospect
     }
 
+    /// Returns the total that must be drawn before a worst case can be reserved.
     fn needed_for(&self, worst_case_tokens: u64) -> u64 {
         self.spent_tokens
             .saturating_add(self.reserved_tokens)
             .saturating_add(worst_case_tokens)
     }
 
-    /// Draws what the next calls will need; true if the table lacks it.
+    /// Draws tokens for the next calls. Returns whether a part of the drawn tokens
+    /// is not yet durable.
     pub(super) fn draw_ahead(&mut self, chunk_tokens: u64) -> bool {
-        let wanted_tokens = self.needed_for(chunk_tokens / 2);
-        self.draw(wanted_tokens, chunk_tokens);
-        self.wants_draw()
+        let required_tokens = self.needed_for(chunk_tokens / 2);
+        self.draw(required_tokens, chunk_tokens);
+        self.has_undurable_draw()
     }
 
-    fn draw(&mut self, wanted_tokens: u64, chunk_tokens: u64) {
-        if wanted_tokens <= self.drawn_tokens {
+    /// Raises the drawn tokens to the required total, rounded up to whole chunks
+    /// and limited by the budget.
+    fn draw(&mut self, required_tokens: u64, chunk_tokens: u64) {
+        if required_tokens <= self.drawn_tokens {
             return;
         }
-        let chunks = wanted_tokens.div_ceil(chunk_tokens.max(1));
+        let chunks = required_tokens.div_ceil(chunk_tokens.max(1));
         let drawn = chunks.saturating_mul(chunk_tokens.max(1));
         self.drawn_tokens = drawn.min(self.budget_tokens);
     }
 
-    /// Whether the table lacks a part of what was drawn.
-    pub(super) fn wants_draw(&self) -> bool {
+    /// Returns whether a part of the drawn tokens is not yet durable.
+    pub(super) fn has_undurable_draw(&self) -> bool {
         self.drawn_tokens > self.durable_tokens
     }
 
-    /// Notes that the table has this much as drawn.
-    pub(super) fn drawn_durably(&mut self, drawn_tokens: u64) {
+    /// Records that the table holds this number of drawn tokens.
+    pub(super) fn record_durable_draw(&mut self, drawn_tokens: u64) {
         self.durable_tokens = self.durable_tokens.max(drawn_tokens);
     }
 
-    /// Ends a reservation with what was really spent.
+    /// Releases a reservation and adds the tokens that were actually spent.
     pub(super) fn settle(&mut self, reserved_tokens: u64, spent_tokens: u64) {
         self.reserved_tokens = self.reserved_tokens.saturating_sub(reserved_tokens);
         self.spent_tokens = self.spent_tokens.saturating_add(spent_tokens);
-        // An engine that counts more than the bound it was given is believed.
+        // An engine may report more tokens than the bound that it was given. Its
+        // count is accepted.
         self.drawn_tokens = self.drawn_tokens.max(self.spent_tokens);
     }
 }
--- a/coordination/src/owner/attempt.rs
+++ b/coordination/src/owner/attempt.rs
@@ -70,7 +70,7 @@
             return;
         };
         let reservation = account.reserve(need_tokens, chunk_tokens);
-        if account.wants_draw() {
+        if account.has_undurable_draw() {
             self.mark_program(&id.root());
         }
         match reservation {
--- a/coordination/src/owner/durable.rs
+++ b/coordination/src/owner/durable.rs
@@ -204,7 +204,7 @@
         };
         let reason = program.end_reason();
         if let Some(account) = program.account.as_deref_mut() {
-            account.drawn_durably(written.drawn_tokens);
+            account.record_durable_draw(written.drawn_tokens);
         }
         for ticket in openers {
             self.reply(ticket, Reply::Opened { created: true });
