--- a/coordination/src/owner/shard.rs
+++ b/coordination/src/owner/shard.rs
@@ -1,4 +1,4 @@
-//! An owned shard: what is to be written, and what is being written.
+//! State of an owned shard: its dirty records and its commits in flight.
 
 use std::collections::{BTreeSet, VecDeque};
 
@@ -7,23 +7,23 @@
 
 use super::event::{Attempt, CommitId};
 
-/// An owned shard.
+/// An owned shard and its records that are not yet durable.
 #[derive(Debug)]
 pub(super) struct ShardState {
     pub(super) epoch: Epoch,
-    /// Whether it is being handed over.
+    /// Whether the shard is being handed over.
     pub(super) is_leaving: bool,
-    /// Whether it was said to be drained.
+    /// Whether the shard was reported as drained.
     pub(super) is_drained: bool,
-    /// Programs whose record is to be written.
+    /// Programs whose record changed since it was last committed.
     pub(super) dirty_programs: BTreeSet<ProgramId>,
-    /// Calls whose record is to be written.
+    /// Calls whose record changed since it was last committed.
     pub(super) dirty_turns: BTreeSet<CallId>,
-    /// Commits given out and not yet known to be durable, oldest first.
+    /// Commits that were issued and not yet confirmed as durable, oldest first.
     pub(super) in_flight: VecDeque<CommitInFlight>,
 }
 
-/// What follows when a commit is durable.
+/// The parts of a commit that are handled once it is durable.
 #[derive(Debug)]
 pub(super) struct CommitInFlight {
     pub(super) id: CommitId,
@@ -31,7 +31,7 @@
     pub(super) turns: Vec<WrittenTurn>,
 }
 
-/// What a commit says of a program.
+/// The parts of a program's record that are handled once it is durable.
 #[derive(Debug)]
 pub(super) struct WrittenProgram {
     pub(super) program: ProgramId,
@@ -39,7 +39,7 @@
     pub(super) is_ended: bool,
 }
 
-/// What a commit says of a call.
+/// The state of a call's record in a commit.
 #[derive(Debug)]
 pub(super) struct WrittenTurn {
     pub(super) program: ProgramId,
@@ -47,7 +47,7 @@
     pub(super) state: WrittenState,
 }
 
-/// How far a call is according to a commit.
+/// The state of a call according to a commit.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(super) enum WrittenState {
     Intent(Attempt),
@@ -79,12 +79,12 @@
         }
     }
 
-    /// Whether something is to be written.
+    /// Returns whether any record must be written.
     pub(super) fn is_dirty(&self) -> bool {
         !self.dirty_programs.is_empty() || !self.dirty_turns.is_empty()
     }
 
-    /// Whether everything is durable.
+    /// Returns whether all records are durable.
     pub(super) fn is_written(&self) -> bool {
         !self.is_dirty() && self.in_flight.is_empty()
     }
