--- a/coordination/src/owner/view.rs
+++ b/coordination/src/owner/view.rs
@@ -1,4 +1,4 @@
-//! What others may see of a program and its calls.
+//! Read-only views of programs, calls and shards.
 
 use std::time::Duration;
 
@@ -11,23 +11,23 @@
 /// A program as its owner sees it.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct ProgramView {
-    /// Whether it takes calls.
+    /// Whether the program accepts calls or has ended.
     pub state: ProgramState,
     /// Budget of the whole tree of programs.
     pub budget_tokens: u64,
-    /// What the whole tree has spent.
+    /// Tokens that the whole tree has spent.
     pub spent_tokens: u64,
-    /// Worst case of the tree's calls in flight.
+    /// Sum of the worst cases of the tree's calls in flight, in tokens.
     pub reserved_tokens: u64,
-    /// Number of calls it may make.
+    /// Number of calls that the program may make.
     pub turn_limit: u64,
-    /// Time since it was opened.
+    /// Time since the program was opened.
     pub age: Duration,
     /// Position of the next call.
     pub next_sequence: Sequence,
-    /// Calls that wait for their turn.
+    /// Number of calls that wait for a preceding call.
     pub waiting: usize,
-    /// Positions of the calls known, in order.
+    /// Positions of the calls in memory, in order.
     pub calls: Vec<Sequence>,
 }
 
@@ -36,50 +36,50 @@
 pub struct CallView {
     /// The caller's idempotency key.
     pub key: Option<String>,
-    /// What the call runs on.
+    /// Kind of endpoint that runs the call.
     pub kind: CallKind,
     /// The model's or the tool's name.
     pub target: String,
-    /// Whether it may run more than once.
+    /// Whether the call may run more than once.
     pub repeatable: bool,
-    /// How far it is.
+    /// Progress of the call.
     pub stage: CallStage,
-    /// The last attempt.
+    /// Number of the last attempt.
     pub attempt: Attempt,
-    /// Where the last attempt went or goes.
+    /// Sidecar of the last attempt, if one was chosen.
     pub placement: Option<Placement>,
 }
 
-/// How far a call is.
+/// The progress of a call.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum CallStage {
-    /// It has not been sent.
+    /// The call has not been sent.
     Waiting,
-    /// It was sent to an endpoint.
+    /// The call was sent to an endpoint.
     InFlight,
-    /// It is not under way, until the same request comes again.
+    /// The call is stopped until the same request is submitted again.
     Parked {
-        /// Whether it may have run.
+        /// Whether the call may have run.
         may_have_run: bool,
     },
-    /// It ended.
+    /// The call ended.
     Ended {
-        /// How.
+        /// The outcome of the call.
         outcome: CallOutcome,
-        /// Whether the end is in the table.
+        /// Whether the outcome is durable in the table.
         durable: bool,
     },
 }
 
-/// A shard that this entry owns.
+/// A shard that this entry process owns.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct ShardView {
     /// The shard.
     pub shard: Shard,
-    /// The epoch under which this entry owns it.
+    /// The epoch under which this entry process owns the shard.
     pub epoch: Epoch,
-    /// Whether it is being handed over.
+    /// Whether the shard is being handed over.
     pub leaving: bool,
-    /// Programs in memory.
+    /// Number of its programs in memory.
     pub programs: usize,
 }
