--- a/coordination/src/owner/config.rs
+++ b/coordination/src/owner/config.rs
@@ -1,44 +1,44 @@
-//! Bounds and defaults of the owner.
+//! Settings of the shard owner.
 
 use std::time::Duration;
 
-/// Bounds and defaults of the owner.
+/// Limits, timeouts and default values of the shard owner.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct OwnerConfig {
-    /// Number of shards of the cluster, above zero.
+    /// Number of shards of the cluster; greater than zero.
     pub shard_count: u32,
-    /// Seed of the jitter in the times at which callers come back.
+    /// Seed of the jitter of the retry delays sent to callers.
     pub seed: u64,
-    /// Budget is drawn from the table in steps of this size.
+    /// Number of tokens by which budget is drawn from the table at a time.
     pub budget_chunk_tokens: u64,
-    /// How long a call waits for the ones before it to come.
+    /// Longest time for which a call waits for missing calls before it.
     pub gap_wait: Duration,
-    /// Dispatches of one call, at most.
+    /// Maximum number of dispatches of one call.
     pub max_attempts: u32,
-    /// Retries that are allowed for each hundred first dispatches.
+    /// Number of retries allowed for each hundred first dispatches.
     pub retry_percent: u32,
-    /// Retries that may be saved up.
+    /// Maximum number of retries that may accumulate.
     pub retry_burst: u32,
-    /// Calls of a program when its caller names no limit.
+    /// Maximum number of calls of a program whose caller sets no limit.
     pub default_turn_limit: u64,
-    /// Age of a program when its caller names no limit.
+    /// Maximum age of a program whose caller sets no limit.
     pub default_wall_limit: Duration,
-    /// The same call made this often in a row ends its program.
+    /// Number of identical calls in a row at which a program is ended.
     pub loop_limit: u32,
-    /// Waiting calls of one program, at most.
+    /// Maximum number of waiting calls of one program.
     pub max_waiting: usize,
-    /// Ended calls that wait to be written, at most.
+    /// Maximum number of ended calls whose end is not yet durable.
     pub max_uncommitted: usize,
-    /// Bytes of the answers that wait to be written, at most.
+    /// Maximum number of bytes of answers that are not yet durable.
     pub max_uncommitted_bytes: u64,
-    /// How long an unreachable sidecar is asked for a call's outcome.
+    /// Timeout after which claims to an unreachable sidecar end.
     pub claim_wait: Duration,
-    /// Time between two tries to ask it.
+    /// Time between two claims for the outcome of the same call.
     pub claim_interval: Duration,
-    /// When a refused caller comes back, before jitter.
+    /// Time after which a refused caller may retry, before jitter.
     pub retry_after: Duration,
-    /// Whether callers of repeatable calls are told the end before it is
-    /// durable. The sidecar's copy then stands in for the table's.
+    /// Whether callers of repeatable calls receive the outcome before it is
+    /// durable. Until then, the sidecar retains the only other copy.
     pub early_end: bool,
 }
 
