--- a/coordination/src/owner/mod.rs
+++ b/coordination/src/owner/mod.rs
@@ -235,7 +235,7 @@
                 outcome,
             } => self.claimed(now, &call, attempt, outcome),
             Event::TableState { answering } => self.table_state(now, answering),
-            Event::Quarantined { fingerprints } => self.suspicion.learn(fingerprints),
+            Event::Quarantined { fingerprints } => self.suspicion.add_quarantined(fingerprints),
             Event::Tick => self.tick(now),
         }
     }
