--- a/coordination/src/owner/retry.rs
+++ b/coordination/src/owner/retry.rs
@@ -1,40 +1,41 @@
-//! A budget of retries, so that failing endpoints don't multiply the load.
+//! A retry budget, which keeps retries from multiplying the load when endpoints
+//! fail.
 
-/// One retry, in hundredths.
+/// One retry, in hundredths of a retry.
 const RETRY: u64 = 100;
 
-/// Allows a share of the first dispatches to go again.
+/// A token bucket that limits retries to a share of the first dispatches.
 #[derive(Debug)]
 pub(super) struct RetryBudget {
-    /// Gained with each first dispatch, in hundredths of a retry.
+    /// Amount added with each first dispatch, in hundredths of a retry.
     gain: u64,
-    /// The most that is saved up, in hundredths of a retry.
-    most: u64,
-    /// Saved up, in hundredths of a retry; at most `most`.
-    saved: u64,
+    /// Upper bound of the budget, in hundredths of a retry.
+    capacity: u64,
+    /// Amount that can be taken, in hundredths of a retry; at most `capacity`.
+    available: u64,
 }
 
 impl RetryBudget {
-    /// A budget that starts full.
+    /// Creates a full budget.
     pub(super) fn new(percent: u32, burst: u32) -> Self {
-        let most = u64::from(burst) * RETRY;
+        let capacity = u64::from(burst) * RETRY;
         Self {
             gain: u64::from(percent),
-            most,
-            saved: most,
+            capacity,
+            available: capacity,
         }
     }
 
-    /// Counts a first dispatch.
+    /// Adds the gain of a first dispatch.
     pub(super) fn first_dispatch(&mut self) {
-        self.saved = (self.saved + self.gain).min(self.most);
+        self.available = (self.available + self.gain).min(self.capacity);
     }
 
-    /// Takes one retry, if one is left.
+    /// Takes one retry if the budget allows it. Returns whether it was taken.
     pub(super) fn take(&mut self) -> bool {
-        let left = self.saved.checked_sub(RETRY);
+        let left = self.available.checked_sub(RETRY);
         if let Some(left) = left {
-            self.saved = left;
+            self.available = left;
         }
         left.is_some()
     }
