--- a/coordination/src/ownership.rs
+++ b/coordination/src/ownership.rs
@@ -1,31 +1,31 @@
-//! Who owns which shard, decided by rows of the table and nothing else.
+//! Ownership of shards, determined only by rows of the table.
 //!
-//! Each entry renews one row of its own, whatever the number of its shards.
-//! An observer watches the renewal counters of the others on its own clock.
-//! When a counter has stood still for a lease time, the observer may take the
-//! silent entry's shards, in one transaction on the condition that the rows of
-//! the shards *and* the renewal row are as it saw them. No clock is compared
-//! between hosts.
+//! Each entry renews a single row, regardless of the number of its shards. Other
+//! entries observe its renewal counter on their own clocks. When the counter has
+//! not changed for the duration of a lease, an observer may take over the shards
+//! of the expired host in one transaction. The transaction is conditional on
+//! the rows of the shards *and* the renewal row being as the observer read them.
+//! Clocks of different hosts are never compared.
 //!
-//! Safety does not rest on the lease: every durable write is conditional on
+//! Safety does not depend on the lease: every durable write is conditional on
 //! the row of its shard (see [`commit`](crate::commit)), and sidecars refuse
-//! an epoch lower than the highest that they saw. The lease only decides how
-//! soon a dead owner is replaced.
+//! an epoch lower than the highest that they received. The lease only
+//! determines how soon a dead owner is replaced.
 //!
-//! With many entries each watches a few others (see
-//! [`neighbours`]), and the shards of a silent host go to
-//! those who watch it. The takeover removes the silent host's row, by which all
-//! others learn of it, and so does the host itself, if it was only paused: it
-//! writes a new row and starts anew. Handoffs then bring the shards to the
-//! entries that should own them.
+//! In a large cluster each entry watches only a few others (see
+//! [`neighbours`]), and the shards of an expired host go to the entries that
+//! watch it. The takeover removes the renewal row of the expired host, and all
+//! other entries detect the takeover by the missing row. So does the host
+//! itself if it was only paused: it writes a new row and rejoins. Handoffs then
+//! move the shards to the entries that should own them.
 //!
-//! Only time in which the table answered the observer counts. While the table
-//! is away nobody can renew and nobody can take over; when it comes back all
-//! watch windows start anew, so that an outage is not followed by takeovers
-//! from owners that are alive.
+//! Only time in which the table answered the observer counts towards a lease.
+//! During an outage of the table, renewals and takeovers are impossible. After
+//! the outage all observation periods restart, so that shards are not taken
+//! over from owners that are alive.
 //!
-//! Which live entry should own a shard is decided by rendezvous hashing. A
-//! shard whose owner is alive moves only by handoff, when its owner drains it.
+//! Rendezvous hashing determines which live entry should own a shard. A shard
+//! whose owner is alive moves only by handoff, after its owner has drained it.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -35,26 +35,28 @@
 
 use crate::neighbours;
 
-/// Most shards of one takeover: their rows and the silent host's row fit into
-/// one transaction, where each is named twice, as a condition and as a write.
+/// Maximum number of shards of one takeover. Their rows and the row of the
+/// expired host must fit into one transaction, which lists each row twice, as a
+/// condition and as a write.
 const MAX_TAKEOVER_SHARDS: usize = MAX_TRANSACTION_ENTRIES / 2 - 1;
 
-/// How ownership keeps time.
+/// Timeouts and limits of shard ownership.
 #[derive(Clone, Copy, Debug)]
 pub struct OwnershipConfig {
-    /// How long a renewal counter must stand still before its host is silent.
+    /// Time without a change of the renewal counter after which a host expires.
     pub lease: Duration,
-    /// Longest time between two answers of the table that counts as watched.
+    /// Longest time between two answers of the table that counts towards a lease.
     pub watch_gap: Duration,
     /// Number of shards.
     pub shard_count: u32,
-    /// Most shards that are drained for a handoff at once.
+    /// Maximum number of shards that are drained concurrently for handoffs.
     pub handoffs_at_once: usize,
-    /// How long the set of live entries must be stable before handoffs.
+    /// Time for which the set of live entries must be unchanged before handoffs.
     pub settle: Duration,
-    /// How long a shard stays before it is handed on. Entries may disagree for a
-    /// while on who is there; without this they would pass a shard around.
-    pub stay: Duration,
+    /// Minimum time between a handoff and the next one of the same shard. Entries
+    /// may temporarily disagree on the set of live entries, and without this
+    /// delay they would hand a shard back and forth.
+    pub min_residence: Duration,
 }
 
 impl Default for OwnershipConfig {
@@ -65,23 +67,23 @@
             shard_count: 128,
             handoffs_at_once: 16,
             settle: Duration::from_secs(2),
-            stay: Duration::from_secs(6),
+            min_residence: Duration::from_secs(6),
         }
     }
 }
 
-/// An entry as its renewal row describes it.
+/// The renewal row of an entry.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct HostRow {
     /// Name of the entry's host.
     pub host: HostId,
     /// The process that renews the row.
     pub incarnation: Incarnation,
-    /// Version of the row, which each renewal changes.
+    /// Version of the row; changes with each renewal.
     pub version: u64,
-    /// Where other entries reach it.
+    /// Address at which other entries reach this one.
     pub peer_address: String,
-    /// Whether it is stopping.
+    /// Whether the entry is stopping.
     pub leaving: bool,
 }
 
@@ -94,44 +96,44 @@
     pub version: u64,
     /// Name of the owner's host.
     pub owner: HostId,
-    /// The owning process.
+    /// Incarnation of the owning process.
     pub incarnation: Incarnation,
-    /// Counts the owners.
+    /// Fencing token; incremented with each change of owner.
     pub epoch: Epoch,
 }
 
-/// What the process saw.
+/// An input of the ownership state machine.
 #[derive(Clone, Debug)]
 pub enum OwnershipEvent {
     /// The table answered with all renewal rows.
     HostsRead(Vec<HostRow>),
     /// The table answered with the renewal rows of some hosts.
     HostsWatched {
-        /// The hosts that were asked for.
+        /// The hosts whose rows were requested.
         asked: Vec<HostId>,
-        /// Those of their rows that are there.
+        /// The requested rows that exist.
         rows: Vec<HostRow>,
     },
     /// The table answered with all shard rows.
     ShardsRead(Vec<ShardRow>),
-    /// A shard was passed on; this is its row since then, as the last owner
-    /// wrote it and told its successor.
+    /// A shard was handed over. The row is the one that the previous owner wrote
+    /// and sent to its successor.
     HandedOver(ShardRow),
     /// The table did not answer.
-    TableSilent,
-    /// A takeover ended; `version` is the new version of all rows when it took
-    /// effect. After an unknown outcome the rows are read instead.
+    TableUnavailable,
+    /// A takeover succeeded, failed or has an unknown outcome. After an unknown
+    /// outcome the rows are read.
     TakeoverEnded {
-        /// The shards that it was for.
+        /// The shards of the takeover.
         shards: Vec<Shard>,
-        /// The version of their rows, when it took effect.
+        /// The new version of their rows, if the takeover is known to have succeeded.
         version: Option<u64>,
     },
-    /// A shard being drained has nothing in flight; it was or was not passed on.
+    /// The handoff of a drained shard succeeded or failed.
     HandoffEnded {
         /// The shard.
         shard: Shard,
-        /// Whether the row names the successor.
+        /// Whether the row of the shard names the successor.
         passed_on: bool,
     },
     /// The committer found that a shard has another owner.
@@ -140,14 +142,14 @@
     Leaving,
 }
 
-/// What the process should do.
+/// An output of the ownership state machine, for the process to carry out.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum OwnershipAction {
     /// Read all shard rows.
     ReadShards,
-    /// Take shards in one transaction.
+    /// Take over shards in one transaction.
     TakeOver(Takeover),
-    /// The shard is owned by this process; load its programs.
+    /// Load the programs of a shard that this process now owns.
     Gained {
         /// The shard.
         shard: Shard,
@@ -158,39 +160,40 @@
         /// Whether the shard never had an owner, so that no program can exist.
         is_new: bool,
     },
-    /// The shard is no longer owned by this process.
+    /// Drop the state of a shard that this process no longer owns.
     Lost(Shard),
-    /// Stop taking calls for the shard, then pass it to the successor.
+    /// Stop accepting calls for the shard, then hand it over to the successor.
     Drain {
         /// The shard.
         shard: Shard,
-        /// The host and incarnation to pass it to.
+        /// Host and incarnation of the successor.
         successor: (HostId, Incarnation),
     },
-    /// The shard is not passed on after all: take calls for it again.
+    /// Cancel the handoff of the shard and accept calls for it again.
     Stay(Shard),
 }
 
-/// A takeover of some shards from one silent host, or of shards without owner.
+/// A takeover of shards from one expired host, or of shards without an owner.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Takeover {
-    /// The renewal row that must still have its version; with none, the row of
-    /// `silent_host` must be absent.
-    pub silent_host: Option<(HostId, Option<u64>)>,
-    /// Shards, the version each row must have (none: absent), the new epoch.
+    /// The expired host and the version that its renewal row must still have. The
+    /// row must be absent if the version is `None`.
+    pub expired_host: Option<(HostId, Option<u64>)>,
+    /// For each shard, the version that its row must have (`None` if the row must
+    /// be absent) and the new epoch.
     pub shards: Vec<(Shard, Option<u64>, Epoch)>,
 }
 
 #[derive(Clone, Debug)]
 struct WatchedHost {
     row: HostRow,
-    /// Time watched, with the table answering, since the version changed.
-    still_for: Duration,
-    /// When the row was read last; none since the table was silent.
+    /// Time since the last change of the version in which the table answered.
+    unchanged_for: Duration,
+    /// Time of the last read of the row; `None` after an outage of the table.
     seen_at: Option<Duration>,
 }
 
-/// Ownership as one entry sees it.
+/// The ownership state machine of one entry.
 #[derive(Debug)]
 pub struct Ownership {
     config: OwnershipConfig,
@@ -198,17 +201,18 @@
     incarnation: Incarnation,
     hosts: BTreeMap<HostId, WatchedHost>,
     shards: BTreeMap<Shard, ShardRow>,
-    shards_known: bool,
-    /// Shards that this process owns.
+    has_read_shards: bool,
+    /// Shards that this process owns, with their epochs.
     owned: BTreeMap<Shard, Epoch>,
-    /// Until when shards that were handed to this process, or could not be
-    /// handed on, stay.
-    stays_until: BTreeMap<Shard, Duration>,
+    /// Earliest time of the next handoff of shards that were handed over to this
+    /// process, or whose handoff failed.
+    earliest_handoff: BTreeMap<Shard, Duration>,
     /// Shards being drained for a handoff.
     draining: BTreeSet<Shard>,
     taking_over: bool,
-    /// A takeover met a newer row; the rows of hosts must be read before the
-    /// next one, or it would meet the same row again and again.
+    /// Whether the last takeover failed because of a newer row. The rows of hosts
+    /// must be read before the next takeover, which would otherwise fail
+    /// repeatedly on the same row.
     takeover_failed: bool,
     members: BTreeSet<HostId>,
     members_since: Duration,
@@ -216,8 +220,8 @@
 }
 
 impl Ownership {
-    /// Ownership as the process `incarnation` on `host` sees it, before it has
-    /// read anything.
+    /// Creates the state of the process `incarnation` on `host`, before any row
+    /// was read.
     pub fn new(config: OwnershipConfig, host: HostId, incarnation: Incarnation) -> Self {
         Self {
             config,
@@ -225,9 +229,9 @@
             incarnation,
             hosts: BTreeMap::new(),
             shards: BTreeMap::new(),
-            shards_known: false,
+            has_read_shards: false,
             owned: BTreeMap::new(),
-            stays_until: BTreeMap::new(),
+            earliest_handoff: BTreeMap::new(),
             draining: BTreeSet::new(),
             taking_over: false,
             takeover_failed: false,
@@ -237,21 +241,21 @@
         }
     }
 
-    /// Takes an event at `now` and tells what follows.
+    /// Handles an event at `now` and returns the resulting actions.
     pub fn step(&mut self, now: Duration, event: OwnershipEvent) -> Vec<OwnershipAction> {
         match event {
             OwnershipEvent::HostsRead(rows) => self.hosts_read(now, rows),
             OwnershipEvent::HostsWatched { asked, rows } => self.hosts_watched(now, &asked, rows),
             OwnershipEvent::ShardsRead(rows) => self.shards_read(now, rows),
             OwnershipEvent::HandedOver(row) => {
-                self.note_row(row);
+                self.update_row(row);
                 self.reconcile_owned(now)
             }
-            OwnershipEvent::TableSilent => {
+            OwnershipEvent::TableUnavailable => {
                 for watched in self.hosts.values_mut() {
                     watched.seen_at = None;
                 }
-                self.stay()
+                self.cancel_handoffs()
             }
             OwnershipEvent::TakeoverEnded { shards, version } => {
                 self.takeover_ended(now, &shards, version)
@@ -271,24 +275,25 @@
         }
     }
 
-    /// Where the owner of a shard is reached, as far as this process knows.
-    /// The guess may be old; the receiver corrects it.
+    /// Returns the address of a shard's owner according to the rows that this
+    /// process read last. The address may be outdated; the receiver of a request
+    /// corrects it.
     pub fn owner_address(&self, shard: Shard) -> Option<&str> {
         let row = self.shards.get(&shard)?;
         Some(self.hosts.get(&row.owner)?.row.peer_address.as_str())
     }
 
-    /// Whether this process owns a shard.
+    /// Returns whether this process owns a shard.
     pub fn owns(&self, shard: Shard) -> bool {
         self.owned.contains_key(&shard)
     }
 
-    /// The shards that this process owns.
+    /// Returns the shards that this process owns.
     pub fn owned(&self) -> impl Iterator<Item = Shard> + '_ {
         self.owned.keys().copied()
     }
 
-    /// The other entries that are neither silent nor replaced.
+    /// Returns the rows of the other entries whose lease has not expired.
     pub fn live_peers(&self) -> impl Iterator<Item = &HostRow> {
         let peers = self.hosts.values().filter(|watched| self.is_live(watched));
         peers
@@ -296,7 +301,8 @@
             .filter(|row| row.host != self.host)
     }
 
-    /// Whether every shard has a live owner, as far as this process knows.
+    /// Returns whether every shard has a live owner, according to the rows that
+    /// this process read last.
     pub fn is_settled(&self) -> bool {
         self.knows_all_shards() && self.shards.values().all(|row| !self.is_orphan(row))
     }
@@ -310,7 +316,7 @@
             .into_iter()
             .map(|row| (row.host.clone(), self.watched(now, row)))
             .collect();
-        self.take_hosts(now, hosts)
+        self.update_hosts(now, hosts)
     }
 
     fn hosts_watched(
@@ -326,27 +332,28 @@
         for row in rows {
             hosts.insert(row.host.clone(), self.watched(now, row));
         }
-        self.take_hosts(now, hosts)
+        self.update_hosts(now, hosts)
     }
 
-    /// Adds the time since a row was last read to the time for which it has
-    /// stood still, if that time counts as watched.
+    /// Adds the time since the row was last read to the time without a renewal, if
+    /// that time counts towards the lease.
     fn watched(&self, now: Duration, row: HostRow) -> WatchedHost {
         let known = self.hosts.get(&row.host);
         let same = known.filter(|known| known.row.version == row.version);
-        let still_for = same.map_or(Duration::ZERO, |known| {
+        let unchanged_for = same.map_or(Duration::ZERO, |known| {
             let gap = known.seen_at.map(|seen_at| now.saturating_sub(seen_at));
             let gap = gap.filter(|gap| *gap <= self.config.watch_gap);
-            gap.map_or(Duration::ZERO, |gap| known.still_for + gap)
+            gap.map_or(Duration::ZERO, |gap| known.unchanged_for + gap)
         });
         WatchedHost {
             row,
-            still_for,
+            unchanged_for,
             seen_at: Some(now),
         }
     }
 
-    fn take_hosts(
+    /// Replaces the observed hosts, and decides on takeovers and handoffs.
+    fn update_hosts(
         &mut self,
         now: Duration,
         hosts: BTreeMap<HostId, WatchedHost>,
@@ -354,36 +361,38 @@
         let joined_or_left = !hosts.keys().eq(self.hosts.keys());
         self.hosts = hosts;
         self.takeover_failed = false;
-        self.note_members(now);
-        // A shard without a row here may have been taken by another since the
-        // rows were read.
+        self.update_members(now);
+        // Another entry may have taken a shard that has no known live owner since
+        // the rows of shards were read.
         let settled = self.is_settled();
         let mut actions = self.decide(now);
-        if !self.shards_known || joined_or_left || !settled {
+        if !self.has_read_shards || joined_or_left || !settled {
             actions.push(OwnershipAction::ReadShards);
         }
         actions
     }
 
-    /// The hosts whose rows are to be read with each renewal: all when there
-    /// are few, and a bounded number of neighbours otherwise.
+    /// Returns the hosts whose rows must be read with each renewal: all hosts of a
+    /// small cluster, and a bounded number of neighbours in a large one.
     pub fn watched_hosts(&self) -> Vec<HostId> {
         let watched = neighbours::watched_entries(&self.host, self.hosts.keys());
         watched.into_iter().cloned().collect()
     }
 
-    /// Number of entries known, this one included.
+    /// Returns the number of known entries, including this one.
     pub fn entry_count(&self) -> usize {
         self.hosts.len().max(1)
     }
 
-    /// Takes the lease that follows from the number of entries.
+    /// Sets the lease, which depends on the number of entries.
     pub fn set_lease(&mut self, lease: Duration) {
         self.config.lease = lease;
         self.config.watch_gap = self.config.watch_gap.max(lease / 2);
     }
 
-    fn note_members(&mut self, now: Duration) {
+    /// Updates the set of entries that may own shards and the time of its last
+    /// change.
+    fn update_members(&mut self, now: Duration) {
         let members = self.candidates().cloned().collect();
         if members != self.members {
             self.members = members;
@@ -392,18 +401,19 @@
     }
 
     fn shards_read(&mut self, now: Duration, rows: Vec<ShardRow>) -> Vec<OwnershipAction> {
-        self.shards_known = true;
+        self.has_read_shards = true;
         for row in rows {
-            self.note_row(row);
+            self.update_row(row);
         }
         let mut actions = self.reconcile_owned(now);
         actions.extend(self.decide(now));
         actions
     }
 
-    /// Keeps the newer of two views of a row: an answer that was under way when
-    /// this process took the shard must not make it lose the shard again.
-    fn note_row(&mut self, row: ShardRow) {
+    /// Updates the row of a shard unless a newer version is known. A read that was
+    /// in flight when this process took the shard must not make it lose the
+    /// shard again.
+    fn update_row(&mut self, row: ShardRow) {
         let is_newer = self
             .shards
             .get(&row.shard)
@@ -413,9 +423,9 @@
         }
     }
 
-    /// Shards passed to this process are gained; those that others have are
-    /// lost. A shard that came back under a new epoch is both: what is in
-    /// memory of it is from before another owner's time.
+    /// Gains shards that were handed over to this process, and loses shards that
+    /// other processes own. A shard that returned under a new epoch is first lost
+    /// and then gained, because its state in memory predates another owner.
     fn reconcile_owned(&mut self, now: Duration) -> Vec<OwnershipAction> {
         let mine: BTreeMap<Shard, ShardRow> = self
             .shards
@@ -437,7 +447,8 @@
         }
         for (shard, row) in mine {
             if self.owned.insert(shard, row.epoch).is_none() {
-                self.stays_until.insert(shard, now + self.config.stay);
+                self.earliest_handoff
+                    .insert(shard, now + self.config.min_residence);
                 actions.push(OwnershipAction::Gained {
                     shard,
                     epoch: row.epoch,
@@ -449,13 +460,14 @@
         actions
     }
 
+    /// Returns whether this process is the owner according to a row.
     fn is_mine(&self, row: &ShardRow) -> bool {
         row.owner == self.host && row.incarnation == self.incarnation
     }
 
     fn lose(&mut self, shard: Shard) -> Vec<OwnershipAction> {
         self.draining.remove(&shard);
-        self.stays_until.remove(&shard);
+        self.earliest_handoff.remove(&shard);
         if self.owned.remove(&shard).is_some() {
             vec![OwnershipAction::Lost(shard)]
         } else {
@@ -464,11 +476,11 @@
     }
 
     fn is_live(&self, watched: &WatchedHost) -> bool {
-        watched.row.host == self.host || watched.still_for < self.config.lease
+        watched.row.host == self.host || watched.unchanged_for < self.config.lease
     }
 
-    /// Whether nobody serves a shard: its host is silent, gone, or runs another
-    /// process now.
+    /// Returns whether a shard has no live owner: its host has expired, has no row,
+    /// or runs another incarnation.
     fn is_orphan(&self, row: &ShardRow) -> bool {
         match self.hosts.get(&row.owner) {
             None => true,
@@ -476,7 +488,7 @@
         }
     }
 
-    /// Entries that may be given shards.
+    /// Returns the live entries that are not stopping and may receive shards.
     fn candidates(&self) -> impl Iterator<Item = &HostId> {
         let live = self.hosts.values().filter(|watched| self.is_live(watched));
         live.filter(|watched| !self.is_leaving(&watched.row))
@@ -487,10 +499,12 @@
         row.leaving || (self.leaving && row.host == self.host)
     }
 
+    /// Returns the entry that should own a shard.
     fn preferred(&self, shard: Shard) -> Option<&HostId> {
         Self::first_choice(self.candidates(), shard)
     }
 
+    /// Chooses one of `hosts` for a shard by rendezvous hashing.
     fn first_choice<'a>(
         hosts: impl Iterator<Item = &'a HostId>,
         shard: Shard,
@@ -498,8 +512,9 @@
         hosts.max_by_key(|host| rosebend_util::hash_parts(&[host.as_bytes(), &shard.to_le_bytes()]))
     }
 
+    /// Starts the takeovers and handoffs that are due at `now`.
     fn decide(&mut self, now: Duration) -> Vec<OwnershipAction> {
-        if !self.shards_known || !self.hosts.contains_key(&self.host) {
+        if !self.has_read_shards || !self.hosts.contains_key(&self.host) {
             return Vec::new();
         }
         let mut actions = Vec::new();
@@ -511,49 +526,52 @@
         actions
     }
 
-    /// Whether this process is the one to take an orphan: those who watch its
-    /// host know first that it is silent, gone or replaced, and the new process
-    /// of a replaced host knows it of itself. Others may learn of it much later.
-    fn is_heir(&self, row: &ShardRow) -> bool {
+    /// Returns whether this process should take over a shard without a live owner.
+    /// The entries that watch its host are the first to detect that the host has
+    /// expired, has no row or runs another incarnation. A new incarnation of
+    /// the host detects this by itself. Other entries may detect it much later.
+    fn should_take_over(&self, row: &ShardRow) -> bool {
         let watchers = neighbours::watchers_of(&row.owner, self.hosts.keys());
-        let heirs = self
+        let eligible = self
             .candidates()
             .filter(|host| watchers.contains(host) || **host == row.owner);
-        let heir = Self::first_choice(heirs, row.shard);
-        heir.or_else(|| self.preferred(row.shard)) == Some(&self.host)
+        let chosen = Self::first_choice(eligible, row.shard);
+        chosen.or_else(|| self.preferred(row.shard)) == Some(&self.host)
     }
 
-    /// One takeover: of shards without a row, or of one silent host's shards.
+    /// Returns the next takeover, either of shards without a row or of the shards
+    /// of one expired host.
     fn takeover(&self) -> Option<Takeover> {
-        let wanted = |shard: &Shard| self.preferred(*shard) == Some(&self.host);
+        let is_preferred = |shard: &Shard| self.preferred(*shard) == Some(&self.host);
         let new: Vec<_> = (0..self.config.shard_count)
             .filter(|shard| !self.shards.contains_key(shard))
-            .filter(wanted)
+            .filter(is_preferred)
             .take(MAX_TAKEOVER_SHARDS)
             .map(|shard| (shard, None, 1))
             .collect();
         if !new.is_empty() {
             return Some(Takeover {
-                silent_host: None,
+                expired_host: None,
                 shards: new,
             });
         }
-        let orphan = |row: &&ShardRow| self.is_orphan(row) && self.is_heir(row);
-        let silent = self.shards.values().find(orphan)?.owner.clone();
+        let orphan = |row: &&ShardRow| self.is_orphan(row) && self.should_take_over(row);
+        let expired = self.shards.values().find(orphan)?.owner.clone();
         let shards = self
             .shards
             .values()
             .filter(orphan)
-            .filter(|row| row.owner == silent)
+            .filter(|row| row.owner == expired)
             .take(MAX_TAKEOVER_SHARDS)
             .map(|row| (row.shard, Some(row.version), row.epoch + 1))
             .collect();
-        let version = self.hosts.get(&silent).map(|watched| watched.row.version);
-        // A process that replaced its own predecessor renews this very row, so
-        // it cannot be a condition; the incarnation in the shard rows is one.
-        let silent_host = (silent != self.host).then_some((silent, version));
+        let version = self.hosts.get(&expired).map(|watched| watched.row.version);
+        // A process that replaces an earlier incarnation on its own host renews
+        // the same row, so the row cannot be a condition. The versions of the
+        // shard rows, which hold the earlier incarnation, are conditions instead.
+        let expired_host = (expired != self.host).then_some((expired, version));
         Some(Takeover {
-            silent_host,
+            expired_host,
             shards,
         })
     }
@@ -597,8 +615,9 @@
         actions
     }
 
-    /// Drains shards that another live entry should own, a few at a time, once
-    /// the set of entries has been stable for a while; at once when leaving.
+    /// Starts to drain shards that another live entry should own. The number of
+    /// concurrent handoffs is limited, and the set of entries must have been
+    /// stable for `settle`. Neither applies if this process is stopping.
     fn handoffs(&mut self, now: Duration) -> Vec<OwnershipAction> {
         let stable = now.saturating_sub(self.members_since) >= self.config.settle;
         if !self.leaving && !stable {
@@ -614,7 +633,7 @@
             .owned
             .keys()
             .filter(|shard| !self.draining.contains(shard))
-            .filter(|shard| self.leaving || !self.stays(now, **shard))
+            .filter(|shard| self.leaving || !self.is_too_early(now, **shard))
             .filter_map(|shard| Some((*shard, self.successor(*shard)?)))
             .take(room)
             .collect();
@@ -626,12 +645,14 @@
         actions
     }
 
-    fn stays(&self, now: Duration, shard: Shard) -> bool {
-        self.stays_until
+    /// Returns whether it is too early to hand a shard over.
+    fn is_too_early(&self, now: Duration, shard: Shard) -> bool {
+        self.earliest_handoff
             .get(&shard)
             .is_some_and(|until| now < *until)
     }
 
+    /// Returns the entry that should own a shard, unless it is this one.
     fn successor(&self, shard: Shard) -> Option<(HostId, Incarnation)> {
         let host = self.preferred(shard)?;
         if *host == self.host {
@@ -653,14 +674,15 @@
             actions.push(OwnershipAction::ReadShards);
             return actions;
         }
-        self.stays_until.insert(shard, now + self.config.stay);
+        self.earliest_handoff
+            .insert(shard, now + self.config.min_residence);
         vec![OwnershipAction::Stay(shard)]
     }
 
-    /// Gives up the handoffs that are under way: without the table they cannot
-    /// end, and meanwhile nobody would serve the shards. A handoff whose answer
-    /// was lost may have taken effect; then the next write or read tells.
-    fn stay(&mut self) -> Vec<OwnershipAction> {
+    /// Cancels the handoffs in progress. They cannot complete without the table,
+    /// and until then no process would serve the shards. A handoff whose answer
+    /// was lost may have taken effect, which the next write or read detects.
+    fn cancel_handoffs(&mut self) -> Vec<OwnershipAction> {
         if self.leaving {
             return Vec::new();
         }
--- a/coordination/tests/ownership.rs
+++ b/coordination/tests/ownership.rs
@@ -84,7 +84,7 @@
         shard_count: 64,
         ..OwnershipConfig::default()
     };
-    let (settle, stay) = (config.settle, config.stay);
+    let (settle, stay) = (config.settle, config.min_residence);
     let watch = config.watch_gap / 2;
     let mut entry = Ownership::new(config, "a".to_owned(), "a-run".to_owned());
     let all = (0..64).map(|shard| row(shard, "a", 1, 5)).collect();
@@ -108,7 +108,7 @@
         .copied()
         .map(OwnershipAction::Stay)
         .collect();
-    assert_eq!(entry.step(now, OwnershipEvent::TableSilent), rest);
+    assert_eq!(entry.step(now, OwnershipEvent::TableUnavailable), rest);
     // When the table answers again they are tried anew, those that failed after
     // they have stayed a while.
     now += stay;
--- a/coordination/tests/ownership_world.rs
+++ b/coordination/tests/ownership_world.rs
@@ -158,7 +158,7 @@
 
     fn run_entry(&mut self, entry: usize) {
         if !self.table_answers() {
-            return self.step(entry, OwnershipEvent::TableSilent);
+            return self.step(entry, OwnershipEvent::TableUnavailable);
         }
         self.renew(entry);
         let since_start = self.round - self.entries[entry].started_round;
@@ -250,14 +250,14 @@
             .iter()
             .all(|(shard, version, _)| self.shards.get(shard).map(|row| row.version) == *version);
         let host = takeover
-            .silent_host
+            .expired_host
             .as_ref()
             .is_none_or(|(host, version)| self.hosts.get(host).map(|row| row.version) == *version);
         shards && host
     }
 
     fn check_takeover(&self, takeover: &Takeover) {
-        if let Some((host, Some(_))) = &takeover.silent_host {
+        if let Some((host, Some(_))) = &takeover.expired_host {
             assert!(
                 self.was_idle.contains(host),
                 "taken over from {host}, which always ran"
@@ -283,7 +283,7 @@
             };
             self.shards.insert(*shard, row);
         }
-        if let Some((host, _)) = &takeover.silent_host {
+        if let Some((host, _)) = &takeover.expired_host {
             self.hosts.remove(host);
         }
     }
--- a/entry/src/control/shards.rs
+++ b/entry/src/control/shards.rs
@@ -138,7 +138,7 @@
     }
 
     fn take_over(&mut self, takeover: Takeover) {
-        if let Some((host, _)) = &takeover.silent_host {
+        if let Some((host, _)) = &takeover.expired_host {
             let count = takeover.shards.len() as u64;
             log_event(
                 &LogEvent::new(EventKind::OwnerSilent)
--- a/entry/src/control/state.rs
+++ b/entry/src/control/state.rs
@@ -337,7 +337,7 @@
             self.owner_event(Event::TableState { answering: answers });
         }
         if !answered {
-            self.ownership_event(OwnershipEvent::TableSilent);
+            self.ownership_event(OwnershipEvent::TableUnavailable);
         }
     }
 
--- a/entry/src/rows.rs
+++ b/entry/src/rows.rs
@@ -183,7 +183,7 @@
             .expect(row.clone(), version_or_absent(*version))
             .write(row, value);
     }
-    if let Some((silent, version)) = &takeover.silent_host {
+    if let Some((silent, version)) = &takeover.expired_host {
         let row = row_id(host_key(silent));
         transaction = transaction
             .expect(row.clone(), version_or_absent(*version))
