--- a/coordination/tests/ownership.rs
+++ b/coordination/tests/ownership.rs
@@ -1,4 +1,4 @@
-//! Ownership of shards as one entry sees it.
+//! Tests of the ownership state machine of a single entry.
 
 use std::time::Duration;
 
@@ -38,10 +38,10 @@
 }
 
 #[test]
-fn rows_are_read_until_every_shard_has_one() {
+fn shard_rows_are_read_until_every_shard_has_one() {
     let now = Duration::from_millis(100);
     let mut entry = entry(8);
-    // Another entry has not taken its shards yet.
+    // Entry b has not taken over its shards yet.
     let own: Vec<_> = (0..8)
         .step_by(2)
         .map(|shard| row(shard, "a", 1, 5))
@@ -62,11 +62,11 @@
 }
 
 #[test]
-fn a_shard_that_comes_back_under_a_new_epoch_is_loaded_anew() {
+fn a_shard_that_returns_under_a_new_epoch_is_reloaded() {
     let now = Duration::from_millis(100);
     let mut entry = entry(1);
     entry.step(now, OwnershipEvent::ShardsRead(vec![row(0, "a", 1, 5)]));
-    // While this process was paused the shard went to another and back.
+    // While this process was paused, another entry owned the shard for one epoch.
     let back = OwnershipEvent::ShardsRead(vec![row(0, "a", 3, 9)]);
     let actions = entry.step(now, back);
     let gained = OwnershipAction::Gained {
@@ -79,19 +79,19 @@
 }
 
 #[test]
-fn a_handoff_that_cannot_end_is_given_up() {
+fn handoffs_are_cancelled_when_the_table_is_unavailable() {
     let config = OwnershipConfig {
         shard_count: 64,
         ..OwnershipConfig::default()
     };
-    let (settle, stay) = (config.settle, config.min_residence);
+    let (settle, min_residence) = (config.settle, config.min_residence);
     let watch = config.watch_gap / 2;
     let mut entry = Ownership::new(config, "a".to_owned(), "a-run".to_owned());
     let all = (0..64).map(|shard| row(shard, "a", 1, 5)).collect();
     entry.step(Duration::ZERO, OwnershipEvent::ShardsRead(all));
     let mut drained = Vec::new();
     let mut now = Duration::ZERO;
-    while now < stay + settle * 2 && drained.is_empty() {
+    while now < min_residence + settle * 2 && drained.is_empty() {
         drained = drains(&entry.step(now, renewed(now)));
         now += watch;
     }
@@ -109,13 +109,13 @@
         .map(OwnershipAction::Stay)
         .collect();
     assert_eq!(entry.step(now, OwnershipEvent::TableUnavailable), rest);
-    // When the table answers again they are tried anew, those that failed after
-    // they have stayed a while.
-    now += stay;
+    // When the table answers again, the handoffs are retried. The one that failed
+    // is retried after the minimum residence.
+    now += min_residence;
     assert_eq!(drains(&entry.step(now, renewed(now))), drained);
 }
 
-/// Both entries have renewed their rows.
+/// Returns an event in which both entries have renewed their rows at `now`.
 fn renewed(now: Duration) -> OwnershipEvent {
     let version = u64::try_from(now.as_millis()).unwrap();
     let renewed = |name| HostRow {
@@ -125,6 +125,7 @@
     OwnershipEvent::HostsRead(vec![renewed("a"), renewed("b")])
 }
 
+/// Returns the shards that the actions drain.
 fn drains(actions: &[OwnershipAction]) -> Vec<u32> {
     let drain = |action: &OwnershipAction| match action {
         OwnershipAction::Drain { shard, .. } => Some(*shard),
@@ -134,10 +135,10 @@
 }
 
 #[test]
-fn a_takeover_that_failed_waits_until_hosts_are_read() {
+fn a_failed_takeover_is_retried_after_hosts_are_read() {
     let now = Duration::from_millis(100);
     let mut entry = entry(1);
-    // The owner of the shard has no row any more.
+    // The owner of the shard no longer has a renewal row.
     let orphan = vec![row(0, "gone", 1, 5)];
     let mut actions = entry.step(now, OwnershipEvent::ShardsRead(orphan.clone()));
     let takes_over = |actions: &[OwnershipAction]| {
@@ -146,7 +147,7 @@
             .any(|action| matches!(action, OwnershipAction::TakeOver(_)))
     };
     if !takes_over(&actions) {
-        // The other entry is preferred for this shard; it has left.
+        // The shard prefers entry b, which is removed so that a takes over.
         let alone = OwnershipEvent::HostsRead(vec![host("a")]);
         actions = entry.step(now, alone);
     }
