--- a/coordination/tests/ownership_world.rs
+++ b/coordination/tests/ownership_world.rs
@@ -1,5 +1,8 @@
-//! Many entries over one table: every shard finds a live owner, no two entries
-//! own one by the table's word, and nobody takes over from the living.
+//! Simulation of many entries that share one table.
+//!
+//! The tests inject crashes, pauses, outages and lost messages. They check that
+//! every shard gets exactly one live owner, and that shards are never taken over
+//! from an entry that kept running.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -11,85 +14,91 @@
 use rosebend_state::id::{HostId, Incarnation, Shard};
 
 const SHARDS: u32 = 24;
-/// Time between two renewals of an entry; a round of the world.
+/// Time between two renewals of an entry, which is one round of the simulation.
 const ROUND: Duration = Duration::from_millis(750);
-/// Rounds between two reads of all rows of entries.
+/// Number of rounds between two reads of the renewal rows of all entries.
 const FULL_READ_ROUNDS: u64 = 80;
-/// Rounds without faults after which everything must be settled: leases, full
-/// reads, and time for handoffs.
-const QUIET_ROUNDS: u64 = 900;
-/// Rounds between two reads of all rows of shards, which make up for a successor
-/// that was not told of its shard.
+/// Number of rounds without faults after which every shard must have settled. It
+/// includes the time for leases to expire, for full reads and for handoffs.
+const FAULT_FREE_ROUNDS: u64 = 900;
+/// Number of rounds between two reads of the rows of all shards. By these reads, a
+/// successor finds its shard even if the notification was lost.
 const SHARD_READ_ROUNDS: u64 = 400;
 
+/// A fault that a test injects into the simulation.
 #[derive(Clone, Debug)]
 enum Fault {
-    /// The process dies; its host starts another after some rounds.
+    /// The process crashes, and its host starts another after some rounds.
     Crash { entry: usize, rounds: u64 },
-    /// The process does not run for some rounds, and goes on then.
+    /// The process does not run for some rounds, and then resumes.
     Pause { entry: usize, rounds: u64 },
     /// The table does not answer for some rounds.
     Outage { rounds: u64 },
     /// The answer to the next takeover is lost after it took effect.
     LoseAnswer,
-    /// The successors in the next handoffs are not told.
-    LoseWord { handoffs: u64 },
+    /// The notifications to the successors in the next handoffs are lost.
+    LoseNotification { handoffs: u64 },
 }
 
+/// Returns a strategy of a fault and the rounds to run before it.
 fn fault(entries: usize) -> impl Strategy<Value = (u64, Fault)> {
     let fault = prop_oneof![
         (0..entries, 1u64..20).prop_map(|(entry, rounds)| Fault::Crash { entry, rounds }),
         (0..entries, 1u64..20).prop_map(|(entry, rounds)| Fault::Pause { entry, rounds }),
         (1u64..20).prop_map(|rounds| Fault::Outage { rounds }),
         Just(Fault::LoseAnswer),
-        (1u64..10).prop_map(|handoffs| Fault::LoseWord { handoffs }),
+        (1u64..10).prop_map(|handoffs| Fault::LoseNotification { handoffs }),
     ];
     (0u64..30, fault)
 }
 
+/// Returns a strategy of a number of entries and the faults to inject.
 fn faults() -> impl Strategy<Value = (usize, Vec<(u64, Fault)>)> {
     (2usize..14)
         .prop_flat_map(|entries| (Just(entries), prop::collection::vec(fault(entries), 0..8)))
 }
 
+/// An entry process of the simulation.
 struct Entry {
     ownership: Ownership,
     incarnation: Incarnation,
-    /// The version of its own row, as it wrote it last.
+    /// The version of its own renewal row at its last write.
     row_version: Option<u64>,
     started_round: u64,
-    /// The round in which it runs again; it is down or paused before.
+    /// The round from which it runs; before, it is down or paused.
     idle_until: u64,
     is_down: bool,
 }
 
+/// The table, the entries and the faults in effect.
 #[derive(Default)]
-struct World {
+struct Simulation {
     round: u64,
     version: u64,
     hosts: BTreeMap<HostId, HostRow>,
     shards: BTreeMap<Shard, ShardRow>,
     entries: Vec<Entry>,
     outage_until: u64,
-    loses_answer: bool,
-    loses_words: u64,
+    loses_next_answer: bool,
+    notifications_to_lose: u64,
     incarnations: u64,
-    /// Hosts that were idle lately, from which a takeover is right.
-    was_idle: BTreeSet<HostId>,
+    /// Hosts that were crashed or paused at any time, from which a takeover is
+    /// permitted.
+    idle_hosts: BTreeSet<HostId>,
 }
 
 fn name(entry: usize) -> HostId {
     format!("entry-{entry}")
 }
 
-impl World {
+impl Simulation {
     fn new(entries: usize) -> Self {
-        let mut world = Self::default();
+        let mut simulation = Self::default();
         for entry in 0..entries {
-            let started = world.start(entry);
-            world.entries.push(started);
+            let started = simulation.start(entry);
+            simulation.entries.push(started);
         }
-        world
+        simulation
     }
 
     fn start(&mut self, entry: usize) -> Entry {
@@ -132,15 +141,15 @@
             Fault::Outage { rounds } => {
                 self.outage_until = self.outage_until.max(self.round + rounds);
             }
-            Fault::LoseAnswer => self.loses_answer = true,
-            Fault::LoseWord { handoffs } => self.loses_words = *handoffs,
+            Fault::LoseAnswer => self.loses_next_answer = true,
+            Fault::LoseNotification { handoffs } => self.notifications_to_lose = *handoffs,
         }
     }
 
     fn idle(&mut self, entry: usize, rounds: u64) {
         let until = self.round + rounds;
         self.entries[entry].idle_until = self.entries[entry].idle_until.max(until);
-        self.was_idle.insert(name(entry));
+        self.idle_hosts.insert(name(entry));
     }
 
     fn run_round(&mut self) {
@@ -190,7 +199,8 @@
         let found = self.hosts.get(&host).map(|row| row.version);
         let known = self.entries[entry].row_version;
         if known.is_some() && known != found {
-            // Its row was removed, or is another's: it begins anew.
+            // The row was removed, or another process wrote it. The entry writes
+            // a new row in the next round.
             self.entries[entry].row_version = None;
             return;
         }
@@ -234,13 +244,13 @@
 
     fn take_over(&mut self, entry: usize, takeover: &Takeover) {
         let shards = takeover.shards.iter().map(|(shard, ..)| *shard).collect();
-        let stands = self.table_answers() && self.conditions_hold(takeover);
-        if stands {
+        let is_applied = self.table_answers() && self.conditions_hold(takeover);
+        if is_applied {
             self.check_takeover(takeover);
             self.apply(entry, takeover);
         }
-        let is_told = stands && !std::mem::take(&mut self.loses_answer);
-        let version = is_told.then_some(self.version);
+        let is_answer_received = is_applied && !std::mem::take(&mut self.loses_next_answer);
+        let version = is_answer_received.then_some(self.version);
         self.step(entry, OwnershipEvent::TakeoverEnded { shards, version });
     }
 
@@ -259,13 +269,13 @@
     fn check_takeover(&self, takeover: &Takeover) {
         if let Some((host, Some(_))) = &takeover.expired_host {
             assert!(
-                self.was_idle.contains(host),
-                "taken over from {host}, which always ran"
+                self.idle_hosts.contains(host),
+                "shards were taken over from {host}, which was never idle"
             );
         }
         for (shard, _, epoch) in &takeover.shards {
             let before = self.shards.get(shard).map_or(0, |row| row.epoch);
-            assert_eq!(*epoch, before + 1, "epochs count owners");
+            assert_eq!(*epoch, before + 1, "a takeover increments the epoch by one");
         }
     }
 
@@ -289,7 +299,7 @@
     }
 
     fn hand_over(&mut self, entry: usize, shard: Shard, to: &(HostId, Incarnation)) -> bool {
-        let is_there = self
+        let is_successor_registered = self
             .hosts
             .get(&to.0)
             .is_some_and(|row| row.incarnation == to.1);
@@ -297,7 +307,7 @@
         let Some(row) = row.filter(|row| row.incarnation == self.entries[entry].incarnation) else {
             return false;
         };
-        if !self.table_answers() || !is_there {
+        if !self.table_answers() || !is_successor_registered {
             return false;
         }
         let version = self.next_version();
@@ -310,48 +320,54 @@
             epoch: row.epoch + 1,
         };
         self.shards.insert(shard, row);
-        self.tell(to);
+        self.notify(to);
         true
     }
 
-    /// Tells a successor to look at the rows of shards.
-    fn tell(&mut self, to: &(HostId, Incarnation)) {
-        if self.loses_words > 0 {
-            self.loses_words -= 1;
+    /// Notifies a successor, which then reads the rows of shards.
+    fn notify(&mut self, to: &(HostId, Incarnation)) {
+        if self.notifications_to_lose > 0 {
+            self.notifications_to_lose -= 1;
             return;
         }
         let successor = self
             .entries
             .iter()
             .position(|entry| entry.incarnation == to.1);
-        let runs = |entry: &usize| self.round >= self.entries[*entry].idle_until;
-        if let Some(successor) = successor.filter(runs) {
+        let is_running = |entry: &usize| self.round >= self.entries[*entry].idle_until;
+        if let Some(successor) = successor.filter(is_running) {
             self.act(successor, OwnershipAction::ReadShards);
         }
     }
 
-    /// Entries that own a shard and are the owner by the table's word.
-    fn true_owners(&self, shard: Shard) -> usize {
+    /// Returns the number of entries that own a shard both in their own state and
+    /// according to the table.
+    fn count_confirmed_owners(&self, shard: Shard) -> usize {
         let row = self.shards.get(&shard);
         let owners = self.entries.iter().filter(|entry| {
-            let is_row = row.is_some_and(|row| row.incarnation == entry.incarnation);
-            is_row && entry.ownership.owns(shard)
+            let is_row_owner = row.is_some_and(|row| row.incarnation == entry.incarnation);
+            is_row_owner && entry.ownership.owns(shard)
         });
         owners.count()
     }
 
+    /// Checks that every shard has exactly one owner and that all entries agree.
     fn check_settled(&self) {
         for shard in 0..SHARDS {
             assert_eq!(
-                self.true_owners(shard),
+                self.count_confirmed_owners(shard),
                 1,
-                "shard {shard} has no owner that knows it"
+                "shard {shard} does not have exactly one owner that is also in the table"
             );
             let claims = self
                 .entries
                 .iter()
                 .filter(|entry| entry.ownership.owns(shard));
-            assert_eq!(claims.count(), 1, "shard {shard} is claimed twice");
+            assert_eq!(
+                claims.count(),
+                1,
+                "shard {shard} does not have exactly one claimant"
+            );
         }
         for entry in &self.entries {
             assert!(entry.ownership.is_settled());
@@ -363,39 +379,39 @@
     #![proptest_config(ProptestConfig { cases: 48, ..ProptestConfig::default() })]
     #[test]
     fn every_shard_finds_one_live_owner((entries, faults) in faults()) {
-        let mut world = World::new(entries);
+        let mut simulation = Simulation::new(entries);
         for _ in 0..10 {
-            world.run_round();
+            simulation.run_round();
         }
         for (wait, fault) in &faults {
             for _ in 0..*wait {
-                world.run_round();
+                simulation.run_round();
             }
-            world.inject(fault);
+            simulation.inject(fault);
         }
-        for _ in 0..QUIET_ROUNDS {
-            world.run_round();
+        for _ in 0..FAULT_FREE_ROUNDS {
+            simulation.run_round();
         }
-        world.check_settled();
+        simulation.check_settled();
     }
 }
 
-/// An outage of 30 minutes: nobody takes over from the living after it.
+/// After an outage of the table of 30 minutes, no shard changes its owner.
 #[test]
 fn a_long_outage_is_followed_by_no_takeover() {
-    let mut world = World::new(6);
+    let mut simulation = Simulation::new(6);
     for _ in 0..80 {
-        world.run_round();
+        simulation.run_round();
     }
-    let epochs: Vec<_> = world.shards.values().map(|row| row.epoch).collect();
-    world.inject(&Fault::Outage { rounds: 2400 });
-    for _ in 0..2400 + QUIET_ROUNDS {
-        world.run_round();
+    let epochs: Vec<_> = simulation.shards.values().map(|row| row.epoch).collect();
+    simulation.inject(&Fault::Outage { rounds: 2400 });
+    for _ in 0..2400 + FAULT_FREE_ROUNDS {
+        simulation.run_round();
     }
-    world.check_settled();
+    simulation.check_settled();
     assert_eq!(
         epochs,
-        world
+        simulation
             .shards
             .values()
             .map(|row| row.epoch)
