--- a/coordination/tests/desk/mod.rs
+++ b/coordination/tests/owner_harness/mod.rs
@@ -1,5 +1,7 @@
-//! An owner with one shard, a table that answers at once, and endpoints that
-//! the test speaks for. What the owner does is noted as short lines.
+//! A harness that drives one shard owner without a network. Placement and table
+//! writes succeed at once unless the test makes the table unavailable, and the
+//! test supplies the endpoints' answers. Each action of the owner is logged as a
+//! short line, so that tests can compare the log with a snapshot.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,36 +13,42 @@
 use rosebend_state::id::{CallId, ProgramId};
 use rosebend_state::record::{AnswerRecord, CallKind};
 
-pub struct Desk {
+/// An owner of one shard with a simulated table and simulated endpoints.
+pub struct OwnerHarness {
     pub owner: Owner,
+    /// Simulated time since an arbitrary origin.
     pub now: Duration,
-    /// Whether commits take effect.
+    /// Whether commits are confirmed at once.
+    /// If false, they are added to `pending_commits`.
     pub is_table_up: bool,
-    /// What the owner did, a line each.
-    pub lines: Vec<String>,
-    /// Commits that came while they took no effect.
-    unanswered: Vec<Event>,
-    /// Calls at endpoints.
-    pub sent: Vec<(CallId, Attempt)>,
+    /// Actions of the owner since the last call of `take_log`, one line each.
+    pub log: Vec<String>,
+    /// Confirmations of the commits that the owner sent while the table was
+    /// unavailable, in order.
+    pending_commits: Vec<Event>,
+    /// Attempts that were dispatched and have not ended, oldest first.
+    pub in_flight: Vec<(CallId, Attempt)>,
     next_ticket: u64,
 }
 
-impl Desk {
+impl OwnerHarness {
+    /// Returns a harness whose owner has acquired shard 0 in epoch 1, without
+    /// any records.
     pub fn new(config: OwnerConfig) -> Self {
         let config = OwnerConfig {
             shard_count: 1,
             ..config
         };
-        let mut desk = Self {
+        let mut harness = Self {
             owner: Owner::new(config),
             now: Duration::from_secs(1),
             is_table_up: true,
-            unanswered: Vec::new(),
-            lines: Vec::new(),
-            sent: Vec::new(),
+            pending_commits: Vec::new(),
+            log: Vec::new(),
+            in_flight: Vec::new(),
             next_ticket: 1,
         };
-        desk.event(Event::ShardGained {
+        harness.handle(Event::ShardGained {
             shard: 0,
             epoch: 1,
             programs: Vec::new(),
@@ -49,20 +57,23 @@
             under_way: Vec::new(),
             retained_after: Some(0),
         });
-        desk
+        harness
     }
 
-    pub fn event(&mut self, event: Event) {
+    /// Passes an event to the owner, performs the resulting actions and repeats
+    /// this with the events that they cause.
+    pub fn handle(&mut self, event: Event) {
         let mut events = vec![event];
         while let Some(event) = events.pop() {
             for action in self.owner.step(self.now, event) {
-                events.extend(self.act(action));
+                events.extend(self.perform(action));
             }
         }
     }
 
-    /// Notes what the owner does, and answers for the table and the routing.
-    fn act(&mut self, action: Action) -> Option<Event> {
+    /// Logs an action and returns the reply of the table or of placement, if the
+    /// action asks for one.
+    fn perform(&mut self, action: Action) -> Option<Event> {
         match action {
             Action::Place {
                 call,
@@ -79,7 +90,7 @@
             }),
             Action::Commit { commit, .. } if self.is_table_up => Some(Event::Committed { commit }),
             Action::Commit { commit, .. } => {
-                self.unanswered.push(Event::Committed { commit });
+                self.pending_commits.push(Event::Committed { commit });
                 None
             }
             Action::Dispatch {
@@ -90,8 +101,8 @@
                 ..
             } => {
                 let alone = if alone { " alone" } else { "" };
-                self.note(format!("dispatch {call} to {}{alone}", placement.endpoint));
-                self.sent.push((call, attempt));
+                self.record(format!("dispatch {call} to {}{alone}", placement.endpoint));
+                self.in_flight.push((call, attempt));
                 None
             }
             Action::Reply { ticket, reply } => {
@@ -100,11 +111,11 @@
                     Reply::Undecided { .. } => "undecided".to_owned(),
                     other => format!("{other:?}"),
                 };
-                self.note(format!("ticket {ticket}: {reply}"));
+                self.record(format!("ticket {ticket}: {reply}"));
                 None
             }
             Action::Follow { ticket, call, .. } => {
-                self.note(format!("ticket {ticket} follows {call}"));
+                self.record(format!("ticket {ticket} follows {call}"));
                 None
             }
             Action::CallEnded { call, outcome } => {
@@ -112,43 +123,44 @@
                     CallOutcome::Refused { reason, .. } => format!("refused {reason:?}"),
                     other => format!("{other:?}"),
                 };
-                self.note(format!("{call} ended: {outcome}"));
+                self.record(format!("{call} ended: {outcome}"));
                 None
             }
             Action::ReleaseHolds { program, endpoints } => {
-                self.note(format!("release {program} at {endpoints:?}"));
+                self.record(format!("release {program} at {endpoints:?}"));
                 None
             }
             Action::Quarantine { fingerprint } => {
-                self.note(format!("quarantine {fingerprint}"));
+                self.record(format!("quarantine {fingerprint}"));
                 None
             }
             Action::ShardDrained { shard } => {
-                self.note(format!("drained {shard}"));
+                self.record(format!("drained {shard}"));
                 None
             }
             Action::Claim { call, .. } => {
-                self.note(format!("claim {call}"));
+                self.record(format!("claim {call}"));
                 None
             }
             Action::Acknowledge { .. } | Action::Count { .. } => None,
         }
     }
 
-    fn note(&mut self, line: String) {
-        self.lines.push(line);
+    fn record(&mut self, line: String) {
+        self.log.push(line);
     }
 
-    fn ticket(&mut self) -> u64 {
+    fn allocate_ticket(&mut self) -> u64 {
         self.next_ticket += 1;
         self.next_ticket - 1
     }
 
-    pub fn open(&mut self, session: &str, budget_tokens: u64) {
-        let ticket = self.ticket();
-        self.event(Event::Open {
+    /// Asks the owner to open a program with the default limits.
+    pub fn open_program(&mut self, session: &str, budget_tokens: u64) {
+        let ticket = self.allocate_ticket();
+        self.handle(Event::Open {
             ticket,
-            program: program(session),
+            program: program_id(session),
             budget_tokens,
             turn_limit: None,
             wall_limit: None,
@@ -156,32 +168,34 @@
         });
     }
 
+    /// Submits a call under a new ticket.
     pub fn submit(&mut self, request: CallRequest) {
-        let ticket = self.ticket();
-        self.event(Event::Submit { ticket, request });
+        let ticket = self.allocate_ticket();
+        self.handle(Event::Submit { ticket, request });
     }
 
-    /// The oldest call at an endpoint is answered.
-    pub fn finish(&mut self, answer_tokens: u64) {
-        let (call, attempt) = self.sent.remove(0);
+    /// Completes the oldest attempt in flight with status 200.
+    pub fn complete_oldest_call(&mut self, answer_tokens: u64) {
+        let (call, attempt) = self.in_flight.remove(0);
         let answer = AnswerRecord {
             status: 200,
             answer_tokens,
             ..AnswerRecord::default()
         };
-        self.event(Event::Finished {
+        self.handle(Event::Finished {
             call,
             attempt,
             answer,
         });
     }
 
-    /// The endpoint crashes with all that is sent.
-    pub fn crash(&mut self) {
-        let sent = std::mem::take(&mut self.sent);
+    /// Fails all attempts in flight as an endpoint crash would, with each of
+    /// them as a suspect.
+    pub fn crash_endpoint(&mut self) {
+        let sent = std::mem::take(&mut self.in_flight);
         let suspects: Vec<CallId> = sent.iter().map(|(call, _)| call.clone()).collect();
         for (call, attempt) in sent {
-            self.event(Event::DispatchFailed {
+            self.handle(Event::DispatchFailed {
                 call,
                 attempt,
                 reason: DispatchFailure::EndpointCrashed,
@@ -191,38 +205,41 @@
         }
     }
 
-    pub fn pass(&mut self, time: Duration) {
+    /// Advances the time and sends the owner a tick.
+    pub fn advance(&mut self, time: Duration) {
         self.now += time;
-        self.event(Event::Tick);
+        self.handle(Event::Tick);
     }
 
-    pub fn table(&mut self, answering: bool) {
+    /// Sets whether the table answers, and notifies the owner.
+    pub fn set_table_state(&mut self, answering: bool) {
         self.is_table_up = answering;
-        self.event(Event::TableState { answering });
+        self.handle(Event::TableState { answering });
     }
 
-    /// Commits take effect again, those that waited first.
-    pub fn commit_waiting(&mut self) {
+    /// Makes the table available again and confirms the pending commits in order.
+    pub fn complete_pending_commits(&mut self) {
         self.is_table_up = true;
-        for committed in std::mem::take(&mut self.unanswered) {
-            self.event(committed);
+        for confirmation in std::mem::take(&mut self.pending_commits) {
+            self.handle(confirmation);
         }
     }
 
-    /// What was noted since the last look.
-    pub fn seen(&mut self) -> String {
-        std::mem::take(&mut self.lines).join("\n")
+    /// Returns the log since the last call, and clears it.
+    pub fn take_log(&mut self) -> String {
+        std::mem::take(&mut self.log).join("\n")
     }
 }
 
-pub fn program(session: &str) -> ProgramId {
+/// Returns the id of a program of the customer `caribmar`.
+pub fn program_id(session: &str) -> ProgramId {
     ProgramId::new("caribmar", session).expect("a valid name")
 }
 
-/// A repeatable model call.
-pub fn call(session: &str, key: &str) -> CallRequest {
+/// Returns a repeatable model call whose body, digest and fingerprint are `key`.
+pub fn model_call(session: &str, key: &str) -> CallRequest {
     CallRequest {
-        program: program(session),
+        program: program_id(session),
         key: Some(key.to_owned()),
         sequence: None,
         kind: CallKind::Model,
@@ -238,13 +255,13 @@
     }
 }
 
-/// A tool call that may not be repeated.
-pub fn fee(session: &str, key: &str) -> CallRequest {
+/// Returns a tool call that must not be repeated.
+pub fn tool_call(session: &str, key: &str) -> CallRequest {
     CallRequest {
         kind: CallKind::Tool,
         target: "fee".to_owned(),
         repeatable: false,
         max_answer_tokens: 0,
-        ..call(session, key)
+        ..model_call(session, key)
     }
 }
--- a/coordination/tests/owner_limits.rs
+++ b/coordination/tests/owner_limits.rs
@@ -1,232 +1,234 @@
-//! Refusals, limits, outages and crashing requests, as snapshots of what the
-//! owner does.
+//! Snapshot tests of the owner's refusals, limits and quarantine, and of its
+//! behaviour during table outages and while a shard is drained.
 
-mod desk;
-mod taken_calls;
+mod accepted_calls;
+mod owner_harness;
 
 use std::time::Duration;
 
-use desk::{Desk, call, fee, program};
+use owner_harness::{OwnerHarness, model_call, program_id, tool_call};
 use rosebend_coordination::owner::{CallRequest, Event, OwnerConfig};
 use rosebend_state::record::EndReason;
 
-fn desk() -> Desk {
-    Desk::new(OwnerConfig::default())
+/// Returns a harness with the default configuration.
+fn harness() -> OwnerHarness {
+    OwnerHarness::new(OwnerConfig::default())
 }
 
 #[test]
 fn a_key_stands_for_one_call() {
-    let mut desk = desk();
-    desk.open("a", 100);
-    desk.submit(call("a", "k"));
-    desk.submit(call("a", "k"));
-    desk.submit(CallRequest {
+    let mut harness = harness();
+    harness.open_program("a", 100);
+    harness.submit(model_call("a", "k"));
+    harness.submit(model_call("a", "k"));
+    harness.submit(CallRequest {
         body_digest: "other".to_owned(),
-        ..call("a", "k")
+        ..model_call("a", "k")
     });
-    desk.finish(1);
-    desk.submit(call("a", "k"));
-    insta::assert_snapshot!(desk.seen());
+    harness.complete_oldest_call(1);
+    harness.submit(model_call("a", "k"));
+    insta::assert_snapshot!(harness.take_log());
 }
 
 #[test]
 fn a_missing_call_is_waited_for_and_then_the_next_is_refused() {
-    let mut desk = desk();
-    desk.open("a", 100);
+    let mut harness = harness();
+    harness.open_program("a", 100);
     let numbered = |sequence, key| CallRequest {
         sequence: Some(sequence),
-        ..call("a", key)
+        ..model_call("a", key)
     };
-    desk.submit(numbered(2, "second"));
-    desk.pass(Duration::from_millis(1900));
-    desk.submit(numbered(1, "first"));
-    desk.finish(1);
-    desk.finish(1);
-    desk.submit(numbered(4, "fourth"));
-    desk.pass(Duration::from_millis(2100));
-    desk.submit(numbered(1, "not the first"));
-    insta::assert_snapshot!(desk.seen());
+    harness.submit(numbered(2, "second"));
+    harness.advance(Duration::from_millis(1900));
+    harness.submit(numbered(1, "first"));
+    harness.complete_oldest_call(1);
+    harness.complete_oldest_call(1);
+    harness.submit(numbered(4, "fourth"));
+    harness.advance(Duration::from_millis(2100));
+    harness.submit(numbered(1, "not the first"));
+    insta::assert_snapshot!(harness.take_log());
 }
 
 #[test]
 fn runaway_programs_end_with_a_reason() {
-    let mut desk = Desk::new(OwnerConfig {
+    let mut harness = OwnerHarness::new(OwnerConfig {
         loop_limit: 2,
         default_turn_limit: 3,
         default_wall_limit: Duration::from_secs(60),
         ..OwnerConfig::default()
     });
     for session in ["loops", "long", "old"] {
-        desk.open(session, 1000);
+        harness.open_program(session, 1000);
     }
     for number in 0..3 {
-        desk.submit(CallRequest {
+        harness.submit(CallRequest {
             fingerprint: "same".to_owned(),
-            ..call("loops", &format!("key-{number}"))
+            ..model_call("loops", &format!("key-{number}"))
         });
-        desk.sent.truncate(1);
-        if !desk.sent.is_empty() {
-            desk.finish(1);
+        harness.in_flight.truncate(1);
+        if !harness.in_flight.is_empty() {
+            harness.complete_oldest_call(1);
         }
     }
     for number in 0..4 {
-        desk.submit(call("long", &format!("key-{number}")));
-        if !desk.sent.is_empty() {
-            desk.finish(1);
+        harness.submit(model_call("long", &format!("key-{number}")));
+        if !harness.in_flight.is_empty() {
+            harness.complete_oldest_call(1);
         }
     }
-    desk.submit(call("old", "slow"));
-    desk.submit(call("old", "waits"));
-    desk.pass(Duration::from_secs(61));
-    desk.finish(1);
-    insta::assert_snapshot!(desk.seen());
+    harness.submit(model_call("old", "slow"));
+    harness.submit(model_call("old", "waits"));
+    harness.advance(Duration::from_secs(61));
+    harness.complete_oldest_call(1);
+    insta::assert_snapshot!(harness.take_log());
 }
 
 #[test]
 fn sub_agents_at_once_stay_within_the_budget_of_their_root() {
-    let mut desk = desk();
+    let mut harness = harness();
     for session in ["a", "a/x", "a/y", "a/z"] {
-        desk.open(session, 25);
+        harness.open_program(session, 25);
     }
     for session in ["a/x", "a/y", "a/z"] {
-        desk.submit(call(session, session));
+        harness.submit(model_call(session, session));
     }
-    desk.finish(2);
-    desk.finish(10);
-    desk.finish(10);
-    desk.submit(call("a", "too much"));
-    let view = desk.owner.program(desk.now, &program("a"));
+    harness.complete_oldest_call(2);
+    harness.complete_oldest_call(10);
+    harness.complete_oldest_call(10);
+    harness.submit(model_call("a", "too much"));
+    let view = harness.owner.program(harness.now, &program_id("a"));
     assert_eq!(view.expect("it is open").spent_tokens, 22);
-    insta::assert_snapshot!(desk.seen());
+    insta::assert_snapshot!(harness.take_log());
 }
 
 #[test]
 fn an_outage_refuses_at_once_what_needs_the_table() {
-    let mut desk = Desk::new(OwnerConfig {
+    let mut harness = OwnerHarness::new(OwnerConfig {
         budget_chunk_tokens: 10,
         max_uncommitted: 2,
         ..OwnerConfig::default()
     });
     for session in ["a", "b", "c"] {
-        desk.open(session, 1000);
+        harness.open_program(session, 1000);
     }
-    desk.is_table_up = false;
-    desk.submit(fee("a", "being written"));
-    desk.table(false);
-    desk.submit(fee("b", "fee"));
-    desk.submit(call("b", "within the escrow"));
-    desk.finish(10);
-    desk.submit(call("b", "beyond the escrow"));
-    desk.submit(call("c", "goes on"));
-    desk.finish(1);
-    desk.submit(call("c", "one answer too many"));
-    desk.open("d", 10);
-    desk.event(Event::End {
+    harness.is_table_up = false;
+    harness.submit(tool_call("a", "being written"));
+    harness.set_table_state(false);
+    harness.submit(tool_call("b", "fee"));
+    harness.submit(model_call("b", "within the escrow"));
+    harness.complete_oldest_call(10);
+    harness.submit(model_call("b", "beyond the escrow"));
+    harness.submit(model_call("c", "goes on"));
+    harness.complete_oldest_call(1);
+    harness.submit(model_call("c", "one answer too many"));
+    harness.open_program("d", 10);
+    harness.handle(Event::End {
         ticket: Some(99),
-        program: program("c"),
+        program: program_id("c"),
         reason: EndReason::Requested,
     });
-    desk.table(true);
-    desk.submit(fee("a", "being written"));
-    insta::assert_snapshot!(desk.seen());
+    harness.set_table_state(true);
+    harness.submit(tool_call("a", "being written"));
+    insta::assert_snapshot!(harness.take_log());
 }
 
 #[test]
 fn a_request_that_crashes_twice_is_quarantined_and_its_neighbour_is_not() {
-    let mut desk = desk();
+    let mut harness = harness();
     for session in ["a", "b"] {
-        desk.open(session, 1000);
+        harness.open_program(session, 1000);
     }
-    desk.submit(call("a", "poison"));
-    desk.submit(call("b", "neighbour"));
-    desk.crash();
-    let neighbour = desk.sent.pop();
-    desk.crash();
-    desk.sent.extend(neighbour);
-    desk.finish(1);
-    desk.submit(CallRequest {
+    harness.submit(model_call("a", "poison"));
+    harness.submit(model_call("b", "neighbour"));
+    harness.crash_endpoint();
+    let neighbour = harness.in_flight.pop();
+    harness.crash_endpoint();
+    harness.in_flight.extend(neighbour);
+    harness.complete_oldest_call(1);
+    harness.submit(CallRequest {
         key: Some("a new key".to_owned()),
-        ..call("b", "poison")
+        ..model_call("b", "poison")
     });
-    desk.submit(call("b", "neighbour again"));
-    insta::assert_snapshot!(desk.seen());
+    harness.submit(model_call("b", "neighbour again"));
+    insta::assert_snapshot!(harness.take_log());
 }
 
 #[test]
 fn an_end_runs_what_is_sent_and_frees_what_is_held() {
-    let mut desk = desk();
+    let mut harness = harness();
     for session in ["a", "a/x"] {
-        desk.open(session, 100);
+        harness.open_program(session, 100);
     }
-    desk.submit(call("a/x", "done"));
-    desk.finish(1);
-    desk.submit(call("a", "in flight"));
-    desk.submit(call("a", "waits"));
-    desk.event(Event::End {
+    harness.submit(model_call("a/x", "done"));
+    harness.complete_oldest_call(1);
+    harness.submit(model_call("a", "in flight"));
+    harness.submit(model_call("a", "waits"));
+    harness.handle(Event::End {
         ticket: Some(99),
-        program: program("a"),
+        program: program_id("a"),
         reason: EndReason::Requested,
     });
-    desk.finish(1);
-    desk.submit(call("a", "late"));
-    insta::assert_snapshot!(desk.seen());
+    harness.complete_oldest_call(1);
+    harness.submit(model_call("a", "late"));
+    insta::assert_snapshot!(harness.take_log());
 }
 
 #[test]
 fn a_leaving_shard_is_drained_when_all_is_written_and_sent() {
-    let mut desk = desk();
-    desk.open("a", 100);
-    desk.open("b", 100);
-    desk.submit(call("a", "in flight"));
-    desk.submit(call("a", "waits"));
-    desk.is_table_up = false;
-    desk.submit(fee("b", "its intent is being written"));
-    desk.event(Event::ShardLeaving { shard: 0 });
-    desk.submit(call("a", "late"));
-    let before = desk.seen();
+    let mut harness = harness();
+    harness.open_program("a", 100);
+    harness.open_program("b", 100);
+    harness.submit(model_call("a", "in flight"));
+    harness.submit(model_call("a", "waits"));
+    harness.is_table_up = false;
+    harness.submit(tool_call("b", "its intent is being written"));
+    harness.handle(Event::ShardLeaving { shard: 0 });
+    harness.submit(model_call("a", "late"));
+    let before = harness.take_log();
     assert!(!before.contains("drained"), "{before}");
-    desk.commit_waiting();
-    // The next owner finds both calls with their sidecars.
-    assert_eq!(desk.sent.len(), 2);
-    insta::assert_snapshot!(format!("{before}\n--- written\n{}", desk.seen()));
+    harness.complete_pending_commits();
+    // Both calls were dispatched, so the next owner can claim them from their
+    // sidecars.
+    assert_eq!(harness.in_flight.len(), 2);
+    insta::assert_snapshot!(format!("{before}\n--- written\n{}", harness.take_log()));
 }
 
 #[test]
-fn an_answer_that_is_being_written_keeps_a_shard_from_being_drained() {
-    let mut desk = desk();
-    desk.open("a", 100);
-    desk.submit(call("a", "in flight"));
-    desk.is_table_up = false;
-    desk.finish(1);
-    desk.event(Event::ShardLeaving { shard: 0 });
-    let before = desk.seen();
+fn a_shard_is_not_drained_before_a_pending_answer_is_durable() {
+    let mut harness = harness();
+    harness.open_program("a", 100);
+    harness.submit(model_call("a", "in flight"));
+    harness.is_table_up = false;
+    harness.complete_oldest_call(1);
+    harness.handle(Event::ShardLeaving { shard: 0 });
+    let before = harness.take_log();
     assert!(!before.contains("drained"), "{before}");
-    desk.commit_waiting();
-    assert_eq!(desk.seen(), "drained 0");
+    harness.complete_pending_commits();
+    assert_eq!(harness.take_log(), "drained 0");
 }
 
 #[test]
 fn a_shard_that_stays_takes_calls_and_drains_anew() {
-    let mut desk = desk();
-    desk.open("a", 100);
-    desk.event(Event::ShardLeaving { shard: 0 });
-    desk.submit(call("a", "refused"));
-    desk.event(Event::ShardStays { shard: 0 });
-    desk.submit(call("a", "taken"));
-    desk.finish(1);
-    desk.event(Event::ShardLeaving { shard: 0 });
-    insta::assert_snapshot!(desk.seen());
+    let mut harness = harness();
+    harness.open_program("a", 100);
+    harness.handle(Event::ShardLeaving { shard: 0 });
+    harness.submit(model_call("a", "refused"));
+    harness.handle(Event::ShardStays { shard: 0 });
+    harness.submit(model_call("a", "taken"));
+    harness.complete_oldest_call(1);
+    harness.handle(Event::ShardLeaving { shard: 0 });
+    insta::assert_snapshot!(harness.take_log());
 }
 
 #[test]
-fn a_drained_shard_hands_its_records_over_unless_an_end_is_not_written() {
-    let mut desk = desk();
-    desk.open("a", 100);
-    desk.submit(call("a", "ended"));
-    desk.finish(1);
-    desk.submit(call("a", "in flight"));
-    desk.event(Event::ShardLeaving { shard: 0 });
-    let records = desk.owner.records(desk.now, 0).unwrap();
+fn a_drained_shard_exports_its_records_unless_an_end_is_not_durable() {
+    let mut harness = harness();
+    harness.open_program("a", 100);
+    harness.submit(model_call("a", "ended"));
+    harness.complete_oldest_call(1);
+    harness.submit(model_call("a", "in flight"));
+    harness.handle(Event::ShardLeaving { shard: 0 });
+    let records = harness.owner.records(harness.now, 0).unwrap();
     let sequences: Vec<u64> = records
         .turns
         .iter()
@@ -236,8 +238,9 @@
     let under_way = records.under_way.iter().map(|turn| turn.call.sequence);
     assert_eq!(under_way.collect::<Vec<_>>(), [2]);
 
-    // It ends after the shard was drained: only its sidecar has the answer.
-    desk.is_table_up = false;
-    desk.finish(2);
-    assert_eq!(desk.owner.records(desk.now, 0), None);
+    // The call ends after the shard was drained, while the table is unavailable:
+    // only its sidecar has the answer, so the records can't be handed over.
+    harness.is_table_up = false;
+    harness.complete_oldest_call(2);
+    assert_eq!(harness.owner.records(harness.now, 0), None);
 }
