--- a/coordination/tests/owner_properties.rs
+++ b/coordination/tests/owner_properties.rs
@@ -1,11 +1,11 @@
-//! What must always hold, in a world of three owners, two sidecars and one
-//! table, under random interleavings of messages and failures.
+//! Property tests of the owner's invariants under random interleavings of messages
+//! and failures, in a simulation of three owners, two sidecars and one table.
 //!
-//! The fixed seed of these runs comes from `PROPTEST_RNG_SEED`. The ignored
-//! test draws fresh seeds for as many runs as `ROSEBEND_LONG_RUNS` says, and
-//! prints the seed that fails.
+//! `PROPTEST_RNG_SEED` sets the seed of these runs. The ignored test draws fresh
+//! seeds for the number of runs in `ROSEBEND_LONG_RUNS`, and prints the seed of a
+//! failing run.
 
-mod world;
+mod sim;
 
 use std::fmt;
 
@@ -14,12 +14,13 @@
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use rand::RngExt;
 
-use world::{Mode, World};
+use sim::{Mode, Simulation};
 
-/// Choices of one run, at most.
-const CHOICES: usize = 1200;
+/// The exclusive upper bound of the number of choices in one run.
+const MAX_CHOICES: usize = 1200;
 
-/// The choices of one run, printed on one line.
+/// The choices of one run: the kind and the selector of each. Its debug form is a
+/// single line.
 #[derive(Clone)]
 struct Choices(Vec<(u8, u16)>);
 
@@ -29,19 +30,22 @@
     }
 }
 
+/// Generates the choices of one run.
 fn choices() -> impl Strategy<Value = Choices> {
-    vec((any::<u8>(), any::<u16>()), CHOICES / 3..CHOICES).prop_map(Choices)
+    vec((any::<u8>(), any::<u16>()), MAX_CHOICES / 3..MAX_CHOICES).prop_map(Choices)
 }
 
-fn run(mode: Mode, choices: &Choices) {
-    let mut world = World::new(mode, 7);
-    for shard in 0..world::SHARDS {
-        world.takeover(shard as usize, shard, 1);
+/// Runs a simulation: the first owner of each shard, the choices, and a phase
+/// without faults. Panics if an invariant is violated.
+fn run_simulation(mode: Mode, choices: &Choices) {
+    let mut simulation = Simulation::new(mode, 7);
+    for shard in 0..sim::SHARDS {
+        simulation.takeover(shard as usize, shard, 1);
     }
-    for (what, which) in &choices.0 {
-        world.choose(*what, *which);
+    for (kind, selector) in &choices.0 {
+        simulation.apply_choice(*kind, *selector);
     }
-    world.come_to_rest();
+    simulation.run_fault_free_phase();
 }
 
 const STRICT: Mode = Mode {
@@ -69,27 +73,28 @@
     #![proptest_config(Config { cases: 200, failure_persistence: None, ..Config::default() })]
 
     #[test]
-    fn holds_when_ends_are_durable_before_they_are_told(choices in choices()) {
-        run(STRICT, &choices);
+    fn invariants_hold_when_outcomes_are_durable_before_they_are_reported(choices in choices()) {
+        run_simulation(STRICT, &choices);
     }
 
     #[test]
-    fn holds_when_sidecars_are_out_of_reach_at_takeovers(choices in choices()) {
-        run(PARTITIONS, &choices);
+    fn invariants_hold_when_sidecars_are_unreachable_during_takeovers(choices in choices()) {
+        run_simulation(PARTITIONS, &choices);
     }
 
     #[test]
-    fn holds_when_ends_are_told_early(choices in choices()) {
-        run(EARLY, &choices);
+    fn invariants_hold_when_outcomes_are_reported_early(choices in choices()) {
+        run_simulation(EARLY, &choices);
     }
 
     #[test]
-    fn holds_through_outages_of_the_table(choices in choices()) {
-        run(OUTAGES, &choices);
+    fn invariants_hold_during_table_outages(choices in choices()) {
+        run_simulation(OUTAGES, &choices);
     }
 }
 
-/// The seed to run again, as the long mode printed it.
+/// Returns the seed in `ROSEBEND_SEED`, in the form that the test with fresh seeds
+/// prints, to repeat a failing run.
 fn given_seed() -> Option<[u8; 32]> {
     let seed = std::env::var("ROSEBEND_SEED").ok()?;
     let bytes = seed.split(',').map(|byte| byte.trim().parse());
@@ -97,10 +102,10 @@
     bytes.ok()?.try_into().ok()
 }
 
-/// Draws fresh seeds and prints the one that fails.
+/// Runs all modes under fresh seeds and prints the seed of a failing run.
 #[test]
 #[ignore = "long: run with ROSEBEND_LONG_RUNS=10000 -- --ignored"]
-fn holds_under_fresh_seeds() {
+fn invariants_hold_under_fresh_seeds() {
     let runs = std::env::var("ROSEBEND_LONG_RUNS");
     let runs: u32 = runs.map_or(2000, |runs| runs.parse().expect("a number of runs"));
     for _ in 0..runs.div_ceil(100) {
@@ -114,7 +119,7 @@
             let random = TestRng::from_seed(RngAlgorithm::ChaCha, &seed);
             let mut runner = TestRunner::new_with_rng(config, random);
             let outcome = runner.run(&choices(), |choices| {
-                run(mode, &choices);
+                run_simulation(mode, &choices);
                 Ok(())
             });
             if let Err(failure) = outcome {
--- a/coordination/tests/world/mod.rs
+++ b/coordination/tests/sim/mod.rs
@@ -1,16 +1,16 @@
-//! A small world around the owner: three owners, two sidecars, one table, and
-//! callers, with messages that are delayed, lost, doubled and reordered.
+//! A deterministic simulation of three owner processes, two sidecars, one table
+//! and three callers. Messages are delayed, lost, duplicated and reordered.
 //!
-//! A run is driven by a list of choices, so that a failing run shrinks.
+//! A list of choices drives each run, so that proptest can shrink a failing run.
 
-pub mod check;
 pub mod client;
+pub mod invariants;
 pub mod sidecar;
 pub mod table;
 
+mod fault_free;
 mod faults;
 mod network;
-mod quiet;
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -22,81 +22,98 @@
 use rosebend_state::id::{CallId, Shard};
 use rosebend_state::record::{EndReason, TurnState};
 
-use check::Witness;
-use client::{Client, Told};
+use client::{CallStatus, Client};
+use invariants::InvariantChecker;
 use network::Message;
-use sidecar::{Dispatch, OwnerRun, Sidecar};
+use sidecar::{Dispatch, OwnerIncarnation, Sidecar};
 use table::{Table, Write};
 
+/// The number of shards that the owners share.
 pub const SHARDS: u32 = 2;
 
-/// What kind of faults a run has.
+/// The setting and the kinds of faults under which a simulation runs. Crashes
+/// and the loss of messages occur in each mode.
 #[derive(Clone, Copy, Debug)]
 pub struct Mode {
-    /// Callers are told the end of repeatable calls before it is durable.
+    /// Whether owners report the outcome of a repeatable call to its caller
+    /// before the outcome is durable.
     pub early_end: bool,
-    /// The table has outages.
+    /// Whether the table has outages.
     pub outages: bool,
-    /// Sidecars can be out of reach at a takeover.
+    /// Whether a sidecar can be unreachable during a takeover.
     pub partitions: bool,
 }
 
-/// One owner process.
+/// One owner process, which crashes and restarts during a run.
 #[derive(Debug)]
 pub struct Process {
     pub owner: Owner,
-    pub run: u32,
+    /// The number of the current incarnation, incremented by each restart.
+    pub generation: u32,
+    /// Whether the process neither receives messages nor acts on time.
     pub is_paused: bool,
-    /// What this process was told of the table.
-    pub sees_table: bool,
-    /// Commits on their way, in order, for each shard.
+    /// Whether the table was available by the last notification that this
+    /// process received.
+    pub observed_table_up: bool,
+    /// Commits that have not reached the table, in order, for each shard.
     pub writes: BTreeMap<Shard, VecDeque<Write>>,
 }
 
-/// What a ticket stands for.
+/// A request of a caller that an owner has not answered.
 #[derive(Clone, Debug)]
-pub struct Asked {
-    pub owner: OwnerRun,
+pub struct PendingRequest {
+    /// The owner that the request was sent to.
+    pub owner: OwnerIncarnation,
+    /// The index of the caller.
     pub client: usize,
-    /// The call's index in the script; none for opening or ending.
+    /// The index of the call in the caller's script, or `None` for a request to
+    /// open or end the program.
     pub index: Option<usize>,
 }
 
-pub struct World {
+/// The state of all simulated processes and of the messages between them.
+pub struct Simulation {
     pub mode: Mode,
     pub now: Duration,
     pub processes: Vec<Process>,
     pub sidecars: Vec<Sidecar>,
-    /// The run of each sidecar that placement knows of.
-    pub seen_runs: Vec<u32>,
+    /// The generation of each sidecar that placement uses. It lags behind the
+    /// actual one after a restart.
+    pub seen_generations: Vec<u32>,
     pub table: Table,
     pub is_table_up: bool,
     pub clients: Vec<Client>,
+    /// Messages that were sent and not delivered.
     pub messages: Vec<Message>,
-    pub tickets: BTreeMap<Ticket, Asked>,
-    pub followers: BTreeMap<(OwnerRun, CallId), Vec<Ticket>>,
-    /// Runs that their sidecar lost sight of and that may still take effect.
-    pub zombies: Vec<Dispatch>,
-    pub witness: Witness,
+    pub tickets: BTreeMap<Ticket, PendingRequest>,
+    /// Tickets that wait for the outcome of a call at an owner.
+    pub followers: BTreeMap<(OwnerIncarnation, CallId), Vec<Ticket>>,
+    /// Attempts that outlived the incarnation of their sidecar and may still have
+    /// their effect.
+    pub detached_attempts: Vec<Dispatch>,
+    pub checker: InvariantChecker,
     pub next_ticket: Ticket,
+    /// The number of the next answer, which makes the digests of answers unique.
     pub next_answer: u64,
 }
 
-impl World {
+impl Simulation {
+    /// Returns a simulation in which no process owns a shard. `seed` seeds the
+    /// owners.
     pub fn new(mode: Mode, seed: u64) -> Self {
         let clients = vec![
             Client::new("renewal", true, 6, 0),
             Client::new("renewal/check", false, 5, 1),
             Client::new("booking", false, 6, 3),
         ];
-        let mut witness = Witness::default();
-        witness.budget.insert(clients[0].program.clone(), 260);
-        witness.budget.insert(clients[2].program.clone(), 160);
+        let mut checker = InvariantChecker::default();
+        checker.budget.insert(clients[0].program.clone(), 260);
+        checker.budget.insert(clients[2].program.clone(), 160);
         let process = |index: u64| Process {
             owner: Owner::new(config(mode, seed + index)),
-            run: 1,
+            generation: 1,
             is_paused: false,
-            sees_table: true,
+            observed_table_up: true,
             writes: BTreeMap::new(),
         };
         Self {
@@ -106,41 +123,43 @@
             sidecars: ["east", "west"]
                 .map(|name| Sidecar::new(name, 1, BTreeMap::new()))
                 .into(),
-            seen_runs: vec![1, 1],
+            seen_generations: vec![1, 1],
             table: Table::default(),
             is_table_up: true,
             clients,
             messages: Vec::new(),
             tickets: BTreeMap::new(),
             followers: BTreeMap::new(),
-            zombies: Vec::new(),
-            witness,
+            detached_attempts: Vec::new(),
+            checker,
             next_ticket: 1,
             next_answer: 1,
         }
     }
 
-    /// Gives an owner an event and carries out what it wants done.
+    /// Passes an event to an owner and performs the actions that it returns.
     pub fn step(&mut self, index: usize, event: Event) {
         let actions = self.processes[index].owner.step(self.now, event);
         for action in actions {
-            self.act(index, action);
+            self.perform(index, action);
         }
     }
 
-    fn act(&mut self, index: usize, action: Action) {
-        let run = self.run_of(index);
+    /// Performs an action of an owner. Panics if an owner acknowledges an
+    /// answer whose call has no outcome in the table.
+    fn perform(&mut self, index: usize, action: Action) {
+        let owner_incarnation = self.incarnation_of(index);
         match action {
-            Action::Reply { ticket, reply } => self.replied(index, ticket, reply),
+            Action::Reply { ticket, reply } => self.on_reply(index, ticket, reply),
             Action::Follow {
                 ticket,
                 call,
                 recorded,
             } => self.follow(index, ticket, call, recorded),
             Action::CallEnded { call, outcome } => {
-                let followers = self.followers.remove(&(run, call.clone()));
+                let followers = self.followers.remove(&(owner_incarnation, call.clone()));
                 for ticket in followers.unwrap_or_default() {
-                    self.call_ended(index, ticket, &call, outcome);
+                    self.on_call_end(index, ticket, &call, outcome);
                 }
             }
             Action::Place {
@@ -152,7 +171,7 @@
             } => {
                 let outcome = self.place(&warm, &excluded);
                 self.send_local(
-                    run,
+                    owner_incarnation,
                     Event::Placed {
                         call,
                         attempt,
@@ -172,7 +191,7 @@
                 alone,
                 ..
             } => self.send_dispatch(Dispatch {
-                from: run,
+                from: owner_incarnation,
                 call,
                 attempt,
                 shard,
@@ -192,7 +211,7 @@
             } => {
                 let writes = self.processes[index].writes.entry(shard).or_default();
                 writes.push_back(Write {
-                    run: run.1,
+                    generation: owner_incarnation.1,
                     commit,
                     shard,
                     epoch,
@@ -207,7 +226,7 @@
                 epoch,
                 placement,
             } => self.messages.push(Message::Claim {
-                from: run,
+                from: owner_incarnation,
                 call,
                 attempt,
                 shard,
@@ -243,10 +262,13 @@
         }
     }
 
-    pub fn run_of(&self, index: usize) -> OwnerRun {
-        (index, self.processes[index].run)
+    /// Returns the current incarnation of a process.
+    pub fn incarnation_of(&self, index: usize) -> OwnerIncarnation {
+        (index, self.processes[index].generation)
     }
 
+    /// Places a call on the warm endpoint, or else on one that depends on the
+    /// time, skipping the excluded endpoints.
     fn place(&self, warm: &Option<String>, excluded: &[String]) -> Result<Placement, NoPlacement> {
         let allowed = |sidecar: &&(usize, &Sidecar)| !excluded.contains(&sidecar.1.name);
         let sidecars: Vec<_> = self.sidecars.iter().enumerate().collect();
@@ -261,60 +283,78 @@
         })?;
         Ok(Placement {
             endpoint: chosen.1.name.clone(),
-            incarnation: format!("{}-{}", chosen.1.name, self.seen_runs[chosen.0]),
+            incarnation: format!("{}-{}", chosen.1.name, self.seen_generations[chosen.0]),
         })
     }
 
-    fn replied(&mut self, index: usize, ticket: Ticket, reply: Reply) {
-        let Some(asked) = self.tickets.remove(&ticket) else {
+    /// Updates the caller after a reply to its request.
+    fn on_reply(&mut self, index: usize, ticket: Ticket, reply: Reply) {
+        let Some(pending) = self.tickets.remove(&ticket) else {
             panic!("ticket {ticket} was answered twice");
         };
         match reply {
-            Reply::Opened { .. } => self.clients[asked.client].is_open = true,
-            Reply::Ended { .. } => self.clients[asked.client].has_ended = true,
-            Reply::Refused { reason, .. } => self.refused(index, &asked, reason),
+            Reply::Opened { .. } => self.clients[pending.client].is_open = true,
+            Reply::Ended { .. } => self.clients[pending.client].has_ended = true,
+            Reply::Refused { reason, .. } => self.on_refusal(index, &pending, reason),
             Reply::Undecided { .. } => {}
         }
     }
 
+    /// Registers a ticket for the outcome of a call, or reports the outcome at
+    /// once if it is recorded.
     fn follow(&mut self, index: usize, ticket: Ticket, call: CallId, recorded: bool) {
-        let run = self.run_of(index);
+        let owner_incarnation = self.incarnation_of(index);
         if !recorded {
-            return self.followers.entry((run, call)).or_default().push(ticket);
+            return self
+                .followers
+                .entry((owner_incarnation, call))
+                .or_default()
+                .push(ticket);
         }
         let view = self.processes[index].owner.call(&call);
         let stage = view.expect("a followed call is known").stage;
         let CallStage::Ended { outcome, .. } = stage else {
             panic!("{call} is recorded and has not ended: {stage:?}");
         };
-        self.call_ended(index, ticket, &call, outcome);
+        self.on_call_end(index, ticket, &call, outcome);
     }
 
-    fn call_ended(&mut self, index: usize, ticket: Ticket, call: &CallId, outcome: CallOutcome) {
-        let Some(asked) = self.tickets.remove(&ticket) else {
+    /// Reports the outcome of a call to a caller that follows it, and checks it
+    /// against earlier reports.
+    fn on_call_end(&mut self, index: usize, ticket: Ticket, call: &CallId, outcome: CallOutcome) {
+        let Some(pending) = self.tickets.remove(&ticket) else {
             panic!("ticket {ticket} was answered twice");
         };
-        let position = asked.index.expect("only calls are followed");
-        let planned = self.clients[asked.client].calls[position].clone();
+        let position = pending.index.expect("only calls are followed");
+        let planned_call = self.clients[pending.client].calls[position].clone();
         let shard = call.program.shard(SHARDS);
-        let is_numbered = self.clients[asked.client].is_numbered;
+        let is_numbered = self.clients[pending.client].is_numbered;
         assert!(
             !is_numbered || call.sequence == position as u64 + 1,
             "order: {call} is call {position} of its caller"
         );
-        let told = match outcome {
+        let status = match outcome {
             CallOutcome::Done => {
-                let digest = self.digest(index, call);
-                self.check_durable(index, call, planned.repeatable);
-                self.witness
-                    .done(&planned.key, planned.repeatable, call, &digest, shard);
-                Told::Done
+                let digest = self.answer_digest(index, call);
+                self.check_durable(index, call, planned_call.repeatable);
+                self.checker.record_done(
+                    &planned_call.key,
+                    planned_call.repeatable,
+                    call,
+                    &digest,
+                    shard,
+                );
+                CallStatus::Done
             }
-            // An owner that lost its shard, and hears of an outage before it
-            // hears of that, can't tell what the next owner found. It says so;
-            // the table must not.
-            CallOutcome::Unknown { .. } if !self.is_current(index, shard) => {
-                let was_done = self.witness.told.contains_key(&planned.key);
+            // An owner that lost its shard, and receives the notice of an outage
+            // before that of the loss, can't determine the outcome that the next
+            // owner found. It may report the outcome as unknown, but the table
+            // must not record it so.
+            CallOutcome::Unknown { .. } if !self.is_current_owner(index, shard) => {
+                let was_done = self
+                    .checker
+                    .reported_answers
+                    .contains_key(&planned_call.key);
                 assert!(
                     !was_done || !self.table.is_unknown(call),
                     "history: {call} was done and is unknown in the table"
@@ -322,81 +362,91 @@
                 return;
             }
             CallOutcome::Failed { .. } | CallOutcome::Unknown { .. } => {
-                self.witness.ended(&planned.key, planned.repeatable, shard);
-                Told::Ended
+                self.checker.record_end_without_answer(
+                    &planned_call.key,
+                    planned_call.repeatable,
+                    shard,
+                );
+                CallStatus::EndedWithoutAnswer
             }
-            CallOutcome::Refused { reason, .. } => return self.refused(index, &asked, reason),
+            CallOutcome::Refused { reason, .. } => return self.on_refusal(index, &pending, reason),
             CallOutcome::Moved => return,
-            // Who sent the request to this owner never hears that it has none.
+            // An owner never parks a call whose request it received itself.
             CallOutcome::Parked { .. } => panic!("ticket {ticket} follows a parked call"),
         };
-        self.clients[asked.client].told[position] = told;
+        self.clients[pending.client].statuses[position] = status;
     }
 
-    /// The answer that a caller is given: from memory, or else from the table.
-    fn digest(&self, index: usize, call: &CallId) -> String {
+    /// Returns the digest of the answer that the caller receives. The answer comes
+    /// from the owner's memory, or else from the table.
+    fn answer_digest(&self, index: usize, call: &CallId) -> String {
         if let Some(answer) = self.processes[index].owner.answer(call) {
             return answer.digest.clone();
         }
         let turn = self.table.turns.get(call);
         match turn.map(|turn| &turn.state) {
             Some(TurnState::Done { answer }) => answer.digest.clone(),
-            other => panic!("history: {call} is told as done and the table has {other:?}"),
+            other => panic!("history: {call} is reported as done and the table has {other:?}"),
         }
     }
 
-    /// An end is told before it is durable only as the settings allow.
+    /// Checks that an outcome is durable before it is reported, unless the mode
+    /// allows an earlier report.
     fn check_durable(&self, index: usize, call: &CallId, repeatable: bool) {
         let is_early = repeatable && self.mode.early_end;
-        let sees_outage = self.mode.outages && !self.processes[index].sees_table;
-        let was_outage = self.mode.outages;
-        if !is_early && !sees_outage && !was_outage {
+        let observes_outage = self.mode.outages && !self.processes[index].observed_table_up;
+        let outages_enabled = self.mode.outages;
+        if !is_early && !observes_outage && !outages_enabled {
             assert!(
                 self.table.has_end(call),
-                "history: {call} is told and not durable"
+                "history: {call} is reported and not durable"
             );
         }
     }
 
-    fn refused(&mut self, index: usize, asked: &Asked, reason: RefusalReason) {
-        let Some(position) = asked.index else {
+    /// Updates the caller after a refusal. Records the refusal of a call that is
+    /// not repeatable if the shard's current owner issued it and the caller has
+    /// no other request for the call in progress.
+    fn on_refusal(&mut self, index: usize, pending: &PendingRequest, reason: RefusalReason) {
+        let Some(position) = pending.index else {
             if matches!(reason, RefusalReason::ProgramEnded(_)) {
-                self.clients[asked.client].is_open = true;
+                self.clients[pending.client].is_open = true;
             }
             return;
         };
-        let client = &mut self.clients[asked.client];
-        let gives_up = matches!(
+        let client = &mut self.clients[pending.client];
+        let is_final = matches!(
             reason,
             RefusalReason::ProgramEnded(_) | RefusalReason::BudgetExhausted
         ) || reason == RefusalReason::WrongSequence
-            || (reason == RefusalReason::SequenceGap && client.has_given_up());
+            || (reason == RefusalReason::SequenceGap && client.has_call_without_answer());
         if reason == RefusalReason::SequenceGap {
             let shard = client.program.shard(SHARDS);
-            let is_lost = |key: &str| self.witness.is_exempt(key, true, shard);
-            client.ask_for_lost(position, is_lost);
+            let is_lost = |key: &str| self.checker.may_be_lost(key, true, shard);
+            client.reset_lost_calls(position, is_lost);
         }
-        if gives_up && client.told[position] == Told::Nothing {
-            client.told[position] = Told::Ended;
+        if is_final && client.statuses[position] == CallStatus::Pending {
+            client.statuses[position] = CallStatus::EndedWithoutAnswer;
         }
-        let planned = client.calls[position].clone();
-        let is_other_open = self.tickets.values().any(|other| {
-            other.client == asked.client
-                && other.index == asked.index
-                && self.processes[other.owner.0].run == other.owner.1
+        let planned_call = client.calls[position].clone();
+        let has_other_request = self.tickets.values().any(|other| {
+            other.client == pending.client
+                && other.index == pending.index
+                && self.processes[other.owner.0].generation == other.owner.1
         });
-        let shard = self.clients[asked.client].program.shard(SHARDS);
-        if !planned.repeatable
-            && !is_other_open
+        let shard = self.clients[pending.client].program.shard(SHARDS);
+        if !planned_call.repeatable
+            && !has_other_request
             && reason != RefusalReason::NotOwner
-            && self.is_current(index, shard)
+            && self.is_current_owner(index, shard)
         {
-            self.witness.refuse(&planned.key);
+            self.checker.record_refusal(&planned_call.key);
         }
     }
 
-    /// Whether a process owns a shard, by its own sight and the table's.
-    pub fn is_current(&self, index: usize, shard: Shard) -> bool {
+    /// Returns whether a process owns a shard in the same epoch by its own state
+    /// and by the table.
+    pub fn is_current_owner(&self, index: usize, shard: Shard) -> bool {
         let row = self.table.shards.get(&shard);
         let shards = self.processes[index].owner.shards();
         shards
@@ -404,15 +454,16 @@
             .any(|view| view.shard == shard && row == Some(&(index, view.epoch)))
     }
 
-    /// Sends what a caller wants to an owner.
-    pub fn ask(&mut self, owner: usize, client: usize, index: Option<usize>) {
+    /// Sends a caller's request to an owner: the call at `index`, or without an
+    /// index a request to open the program or, if it is open, to end it.
+    pub fn send_request(&mut self, owner: usize, client: usize, index: Option<usize>) {
         let ticket = self.next_ticket;
         self.next_ticket += 1;
-        let run = self.run_of(owner);
+        let owner_incarnation = self.incarnation_of(owner);
         self.tickets.insert(
             ticket,
-            Asked {
-                owner: run,
+            PendingRequest {
+                owner: owner_incarnation,
                 client,
                 index,
             },
@@ -422,12 +473,12 @@
         let event = match index {
             Some(index) => {
                 let request = caller.request(index);
-                self.witness.refused.remove(&caller.calls[index].key);
+                self.checker.refused_keys.remove(&caller.calls[index].key);
                 Event::Submit { ticket, request }
             }
             None if !caller.is_open => Event::Open {
                 ticket,
-                budget_tokens: self.witness.budget.get(&program).copied().unwrap_or(0),
+                budget_tokens: self.checker.budget.get(&program).copied().unwrap_or(0),
                 program,
                 turn_limit: None,
                 wall_limit: None,
@@ -439,10 +490,11 @@
                 reason: EndReason::Requested,
             },
         };
-        self.send_local(run, event);
+        self.send_local(owner_incarnation, event);
     }
 }
 
+/// Returns the configuration of an owner.
 fn config(mode: Mode, seed: u64) -> OwnerConfig {
     OwnerConfig {
         shard_count: SHARDS,
--- a/coordination/tests/world/network.rs
+++ b/coordination/tests/sim/network.rs
@@ -1,4 +1,4 @@
-//! Messages on their way, and what their arrival brings.
+//! Messages between processes, and the effects of their delivery and loss.
 
 use std::collections::HashSet;
 
@@ -7,36 +7,45 @@
 use rosebend_coordination::owner::{Attempt, ClaimOutcome, Event, Placement};
 use rosebend_state::id::{CallId, Epoch, ProgramId, Shard};
 
-use super::World;
-use super::sidecar::{Dispatch, OwnerRun, Sent, broken};
+use super::Simulation;
+use super::sidecar::{AddressedEvent, Dispatch, OwnerIncarnation, connection_lost_event};
 
-/// A message on its way.
+/// A message that was sent and not delivered.
 #[derive(Clone, Debug)]
 pub enum Message {
-    /// Within one process, or from a caller: delayed, but not lost.
-    Local { to: OwnerRun, event: Event },
-    /// From a sidecar.
-    ToOwner { to: OwnerRun, event: Event },
-    /// To a sidecar, on a connection to this run of it.
-    Dispatch { run: u32, dispatch: Box<Dispatch> },
+    /// An event from within the process or from a caller. It can be delayed, but
+    /// not lost.
+    Local { to: OwnerIncarnation, event: Event },
+    /// An event from a sidecar.
+    ToOwner { to: OwnerIncarnation, event: Event },
+    /// A dispatch on a connection to one incarnation of a sidecar. It breaks if
+    /// the sidecar was replaced.
+    Dispatch {
+        generation: u32,
+        dispatch: Box<Dispatch>,
+    },
+    /// An owner's claim of an attempt whose state it does not have.
     Claim {
-        from: OwnerRun,
+        from: OwnerIncarnation,
         call: CallId,
         attempt: Attempt,
         shard: Shard,
         epoch: Epoch,
         placement: Placement,
     },
+    /// An owner's notice that the sidecar may discard the retained answer.
     Acknowledge {
         call: CallId,
         shard: Shard,
         epoch: Epoch,
         placement: Placement,
     },
+    /// An owner's order to release the KV cache that a program holds.
     Release {
         program: ProgramId,
         endpoint: String,
     },
+    /// The programs of an owner's shards whose holds of KV cache are renewed.
     Renew {
         sidecar: usize,
         fences: Vec<(Shard, Epoch)>,
@@ -44,23 +53,27 @@
     },
 }
 
-impl World {
-    pub fn send_local(&mut self, to: OwnerRun, event: Event) {
+impl Simulation {
+    /// Sends an event that can't be lost.
+    pub fn send_local(&mut self, to: OwnerIncarnation, event: Event) {
         self.messages.push(Message::Local { to, event });
     }
 
-    pub fn send_owner(&mut self, to: OwnerRun, event: Event) {
+    /// Sends an event from a sidecar.
+    pub fn send_to_owner(&mut self, to: OwnerIncarnation, event: Event) {
         self.messages.push(Message::ToOwner { to, event });
     }
 
+    /// Sends a dispatch to the current incarnation of its sidecar.
     pub fn send_dispatch(&mut self, dispatch: Dispatch) {
         let sidecar = self.sidecar_index(&dispatch.placement.endpoint);
         self.messages.push(Message::Dispatch {
-            run: self.sidecars[sidecar].run,
+            generation: self.sidecars[sidecar].generation,
             dispatch: Box::new(dispatch),
         });
     }
 
+    /// Returns the index of the sidecar with this name.
     pub fn sidecar_index(&self, name: &str) -> usize {
         let mut sidecars = self.sidecars.iter();
         sidecars
@@ -68,17 +81,19 @@
             .expect("placements name known sidecars")
     }
 
+    /// Delivers the message at `index`, unless its receiver is paused.
     pub fn deliver(&mut self, index: usize) {
-        if let Some(owner) = self.receiver(index)
+        if let Some(owner) = self.receiving_process(index)
             && self.processes[owner].is_paused
         {
             return;
         }
         match self.messages.remove(index) {
             Message::Local { to, event } | Message::ToOwner { to, event } => {
-                if self.processes[to.0].run == to.1 && !self.is_outdated(to.0, &event) {
+                if self.processes[to.0].generation == to.1 && !self.is_superseded_loss(to.0, &event)
+                {
                     if let Event::TableState { answering } = &event {
-                        self.processes[to.0].sees_table = *answering;
+                        self.processes[to.0].observed_table_up = *answering;
                     }
                     let running = match &event {
                         Event::Claimed {
@@ -94,7 +109,10 @@
                     }
                 }
             }
-            Message::Dispatch { run, dispatch } => self.dispatched(run, *dispatch),
+            Message::Dispatch {
+                generation,
+                dispatch,
+            } => self.deliver_dispatch(generation, *dispatch),
             Message::Claim {
                 from,
                 call,
@@ -106,12 +124,12 @@
                 let sidecar = self.sidecar_index(&placement.endpoint);
                 let sidecar = &mut self.sidecars[sidecar];
                 let outcome = sidecar.claim(self.now, &call, attempt, (shard, epoch), &placement);
-                let told = match outcome {
-                    ClaimOutcome::Buried => sidecar.tell_waiting(&call),
+                let notifications = match outcome {
+                    ClaimOutcome::Buried => sidecar.notify_followers_if_tracked(&call),
                     _ => Vec::new(),
                 };
-                self.send_all(told);
-                self.send_owner(
+                self.send_to_owners(notifications);
+                self.send_to_owner(
                     from,
                     Event::Claimed {
                         call,
@@ -139,64 +157,71 @@
                 sidecar,
                 fences,
                 programs,
-            } => self.sidecars[sidecar].renew(self.now, &fences, &programs),
+            } => self.sidecars[sidecar].renew_holds(self.now, &fences, &programs),
         }
     }
 
-    /// A process that took a shard again heard of its loss before.
-    fn is_outdated(&self, index: usize, event: &Event) -> bool {
-        matches!(event, Event::ShardLost { shard } if self.is_current(index, *shard))
+    /// Returns whether an event reports the loss of a shard that the process has
+    /// acquired again. A process receives a loss before it can acquire the shard
+    /// again, so such an event is dropped.
+    fn is_superseded_loss(&self, index: usize, event: &Event) -> bool {
+        matches!(event, Event::ShardLost { shard } if self.is_current_owner(index, *shard))
     }
 
-    /// A process resumes the stream of a call that a claim found running.
-    fn resume(&mut self, to: OwnerRun, call: &CallId, attempt: Attempt) {
+    /// Resumes the stream of a call that a claim found running.
+    fn resume(&mut self, to: OwnerIncarnation, call: &CallId, attempt: Attempt) {
         let placement = self.processes[to.0]
             .owner
             .call(call)
             .and_then(|view| view.placement);
         if let Some(placement) = placement {
             let index = self.sidecar_index(&placement.endpoint);
-            let sent = self.sidecars[index].resume(call, (to, attempt));
-            self.send_all(sent);
+            let events = self.sidecars[index].resume(call, (to, attempt));
+            self.send_to_owners(events);
         }
     }
 
-    fn receiver(&self, index: usize) -> Option<usize> {
+    /// Returns the owner process that receives the message at `index`, if it is
+    /// addressed to one.
+    fn receiving_process(&self, index: usize) -> Option<usize> {
         match &self.messages[index] {
             Message::Local { to, .. } | Message::ToOwner { to, .. } => Some(to.0),
             _ => None,
         }
     }
 
-    fn dispatched(&mut self, run: u32, dispatch: Dispatch) {
+    /// Delivers a dispatch, or breaks its stream if the sidecar was replaced.
+    fn deliver_dispatch(&mut self, generation: u32, dispatch: Dispatch) {
         let index = self.sidecar_index(&dispatch.placement.endpoint);
-        if self.sidecars[index].run != run {
-            return self.lose_connection(&dispatch);
+        if self.sidecars[index].generation != generation {
+            return self.break_stream(&dispatch);
         }
-        let sent = self.sidecars[index].dispatch(self.now, dispatch);
-        self.send_all(sent);
+        let events = self.sidecars[index].dispatch(self.now, dispatch);
+        self.send_to_owners(events);
     }
 
-    pub fn send_all(&mut self, sent: Vec<Sent>) {
-        for (to, event) in sent {
+    /// Sends events from a sidecar.
+    pub fn send_to_owners(&mut self, events: Vec<AddressedEvent>) {
+        for (to, event) in events {
             self.messages.push(Message::ToOwner { to, event });
         }
     }
 
-    /// The stream of a dispatch broke.
-    pub fn lose_connection(&mut self, dispatch: &Dispatch) {
+    /// Notifies the owner that the stream of a dispatch broke.
+    pub fn break_stream(&mut self, dispatch: &Dispatch) {
         let stream = (dispatch.from, dispatch.attempt);
-        let (to, event) = broken(stream, dispatch.call.clone());
+        let (to, event) = connection_lost_event(stream, dispatch.call.clone());
         self.send_local(to, event);
     }
 
-    /// Loses a message, if it is of a kind that can be lost.
-    pub fn lose(&mut self, index: usize) {
+    /// Drops the message at `index` if it can be lost. The owner receives a
+    /// connection loss in place of a dispatch or its outcome.
+    pub fn discard(&mut self, index: usize) {
         if matches!(self.messages[index], Message::Local { .. }) {
             return;
         }
         match self.messages.remove(index) {
-            Message::Dispatch { dispatch, .. } => self.lose_connection(&dispatch),
+            Message::Dispatch { dispatch, .. } => self.break_stream(&dispatch),
             Message::ToOwner {
                 to,
                 event:
@@ -204,15 +229,16 @@
                     | Event::DispatchRefused { call, attempt, .. }
                     | Event::DispatchFailed { call, attempt, .. },
             } => {
-                let (to, event) = broken((to, attempt), call);
+                let (to, event) = connection_lost_event((to, attempt), call);
                 self.send_local(to, event);
             }
             _ => {}
         }
     }
 
-    /// Doubles a message; a caller's request gets no second ticket.
-    pub fn double(&mut self, index: usize) {
+    /// Duplicates the message at `index`, unless it is a caller's request: each
+    /// ticket stands for one request.
+    pub fn duplicate(&mut self, index: usize) {
         let is_request = matches!(
             self.messages[index],
             Message::Local {
@@ -225,10 +251,11 @@
         }
     }
 
-    /// An endpoint takes a running call to its end.
-    pub fn run_to_end(&mut self, sidecar: usize, call: &CallId, choice: u64) {
-        let dispatch = self.sidecars[sidecar].given[call].dispatch.clone();
-        self.take_effect(&dispatch, true);
+    /// Completes a running call with an answer. `choice` sets the length of the
+    /// answer.
+    pub fn complete_call(&mut self, sidecar: usize, call: &CallId, choice: u64) {
+        let dispatch = self.sidecars[sidecar].tracked_calls[call].dispatch.clone();
+        self.apply_effect(&dispatch, true);
         let name = dispatch.request.key.as_deref().expect("calls have keys");
         let finished = Finished {
             status: 200,
@@ -239,16 +266,18 @@
         };
         self.next_answer += 1;
         let spent_tokens = finished.prompt_tokens + finished.answer_tokens;
-        self.witness.spend(&call.program, spent_tokens);
+        self.checker.record_spending(&call.program, spent_tokens);
         let outcome = Outcome::Finished(finished);
-        let sent = self.sidecars[sidecar].end(self.now, call, outcome);
-        self.send_all(sent);
+        let events = self.sidecars[sidecar].complete(self.now, call, outcome);
+        self.send_to_owners(events);
     }
 
-    pub fn take_effect(&mut self, dispatch: &Dispatch, is_known: bool) {
+    /// Records the effect of an attempt, if its call is not repeatable.
+    pub fn apply_effect(&mut self, dispatch: &Dispatch, checks_order: bool) {
         if !dispatch.request.repeatable {
             let key = dispatch.request.key.clone().expect("calls have keys");
-            self.witness.effect(&key, &dispatch.call, is_known);
+            self.checker
+                .record_effect(&key, &dispatch.call, checks_order);
         }
     }
 }
--- a/coordination/tests/world/table.rs
+++ b/coordination/tests/sim/table.rs
@@ -1,4 +1,5 @@
-//! The table: records under the condition that a shard's epoch still stands.
+//! A simulated table. It applies a write only if the write's epoch is the current
+//! epoch of its shard.
 
 use std::collections::BTreeMap;
 
@@ -8,11 +9,11 @@
 
 use super::SHARDS;
 
-/// A commit on its way to the table.
+/// A commit that was sent to the table.
 #[derive(Clone, Debug)]
 pub struct Write {
-    /// The run of the process that it is from.
-    pub run: u32,
+    /// The generation of the process that sent the commit.
+    pub generation: u32,
     pub commit: CommitId,
     pub shard: Shard,
     pub epoch: Epoch,
@@ -20,21 +21,22 @@
     pub turns: Vec<TurnRecord>,
 }
 
-/// The table's rows.
+/// The rows of the table.
 #[derive(Debug, Default)]
 pub struct Table {
-    /// Owner and epoch of each shard.
+    /// The index of the owner process and the epoch of each shard.
     pub shards: BTreeMap<Shard, (usize, Epoch)>,
     pub programs: BTreeMap<ProgramId, ProgramRecord>,
     pub turns: BTreeMap<CallId, TurnRecord>,
 }
 
 impl Table {
+    /// Returns the epoch of a shard, or 0 if it never had an owner.
     pub fn epoch(&self, shard: Shard) -> Epoch {
         self.shards.get(&shard).map_or(0, |row| row.1)
     }
 
-    /// The records of a shard.
+    /// Returns the records of a shard.
     pub fn records(&self, shard: Shard) -> ShardRecords {
         let programs = self.programs.values();
         let programs = programs.filter(|record| record.program.shard(SHARDS) == shard);
@@ -47,7 +49,8 @@
         }
     }
 
-    /// Applies a write, all or nothing.
+    /// Applies a write atomically and returns true, or returns false if the shard
+    /// is in another epoch.
     pub fn apply(&mut self, write: &Write) -> bool {
         if self.epoch(write.shard) != write.epoch {
             return false;
@@ -61,19 +64,20 @@
         true
     }
 
-    /// Whether the table says that a call has no attempt under way.
+    /// Returns whether the table has a record of a call without an attempt in
+    /// progress.
     pub fn is_settled(&self, call: &CallId) -> bool {
         let turn = self.turns.get(call);
         turn.is_some_and(|turn| !matches!(turn.state, TurnState::Intent { .. }))
     }
 
-    /// Whether the table says that a call's outcome is not known.
+    /// Returns whether the table records the outcome of a call as unknown.
     pub fn is_unknown(&self, call: &CallId) -> bool {
         let turn = self.turns.get(call);
         turn.is_some_and(|turn| matches!(turn.state, TurnState::Unknown { .. }))
     }
 
-    /// Whether a call's end is in the table.
+    /// Returns whether the table has the final outcome of a call.
     pub fn has_end(&self, call: &CallId) -> bool {
         let turn = self.turns.get(call);
         turn.is_some_and(|turn| {
