--- a/coordination/tests/scale.rs
+++ b/coordination/tests/scale.rs
@@ -1,4 +1,5 @@
-//! What must stay bounded however many hosts there are.
+//! Tests that the load on the table, the observers per host and the endpoints per
+//! host stay bounded for any number of hosts.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -12,17 +13,19 @@
 
 const ZONES: usize = 7;
 
+/// Returns the ids of `count` entry hosts.
 fn hosts(count: usize) -> Vec<HostId> {
     (0..count).map(|number| format!("entry-{number}")).collect()
 }
 
+/// Returns the zone of the host or endpoint with this number.
 fn zone(number: usize) -> String {
     format!("zone-{}", number % ZONES)
 }
 
 proptest! {
     #[test]
-    fn entries_never_use_more_than_the_tables_rate(
+    fn writes_of_all_entries_stay_within_the_rate_of_the_table(
         entries in 1usize..2000,
         writes_per_second in 4u32..1000,
     ) {
@@ -35,7 +38,7 @@
     }
 
     #[test]
-    fn every_entry_is_watched_by_as_many_others(count in 1usize..60) {
+    fn every_entry_has_the_same_number_of_watchers(count in 1usize..60) {
         let hosts = hosts(count);
         let mut watchers: BTreeMap<&HostId, usize> = BTreeMap::new();
         for host in &hosts {
@@ -54,7 +57,7 @@
     }
 }
 
-/// 380 entries before 180 endpoints of one model, in 7 zones.
+/// Distributes 180 endpoints of one model over 380 entries, in 7 zones.
 #[test]
 fn endpoints_are_spread_over_entries_and_zones() {
     let endpoints: Vec<(EndpointId, String)> = (0..180)
@@ -95,7 +98,7 @@
 }
 
 #[test]
-fn a_table_of_today_is_used_as_the_settings_say() {
+fn few_entries_use_the_configured_periods() {
     let pace = Pace::new(&PaceConfig::default(), 3);
     assert_eq!(pace.renew, Duration::from_millis(750));
     assert_eq!(pace.lease, Duration::from_secs(3));
@@ -103,11 +106,13 @@
     assert_eq!(pace.config_poll, Duration::from_millis(500));
 }
 
-/// At letter 1's size a change is looked for, and told to sidecars, in time.
+/// With 380 entries, the poll for configuration changes and the poll that sends
+/// them to the sidecars together take less than 4 s, half of the 8 s within which
+/// a change must be in force.
 #[test]
 fn a_change_is_in_force_within_eight_seconds_at_380_entries() {
     let config = PaceConfig::default();
-    let looked_for = Pace::new(&config, 380).config_poll;
-    let told = status_poll(&config, 4 * ENDPOINTS_PER_TARGET);
-    assert!(looked_for + told < Duration::from_secs(4));
+    let config_poll_period = Pace::new(&config, 380).config_poll;
+    let status_poll_period = status_poll(&config, 4 * ENDPOINTS_PER_TARGET);
+    assert!(config_poll_period + status_poll_period < Duration::from_secs(4));
 }
