--- a/coordination/src/owner/mod.rs
+++ b/coordination/src/owner/mod.rs
@@ -1,9 +1,10 @@
 /*!
-The owner of program shards: which call runs when, what must be durable
-before, and what a caller may be told.
+The owner of program shards. It decides when each call runs, which records
+must be durable before that, and which outcome a caller may receive.
 
-An [`Owner`] is a state machine. It is given the time and an [`Event`], and
-returns [`Action`]s for the process around it:
+An [`Owner`] is a state machine without I/O. [`Owner::step`] takes the current
+time and an [`Event`], and returns the [`Action`]s that the surrounding process
+has to carry out:
 
 ```
 use std::time::Duration;
@@ -17,7 +18,7 @@
     program,
     reason: rosebend_state::record::EndReason::Requested,
 });
-// The shard belongs to another entry, or to none yet.
+// This entry does not own the shard of the program.
 let refused = |action: &Action| matches!(action, Action::Reply {
     ticket: 1,
     reply: Reply::Refused { reason: RefusalReason::NotOwner, .. },
@@ -26,48 +27,50 @@
 # Ok::<(), rosebend_state::id::IdError>(())
 ```
 
-# The way of a call
+# Life of a call
 
-A call waits until it has its turn, which is when every call before it has
-ended. It then reserves its worst case from the budget and asks for an
-endpoint. A repeatable call is dispatched at once. For one that is not, an
-intent is written first, and only `Committed` lets it go. When it has ended,
-its end is written together with what it spent, and then acknowledged to the
-sidecar, which drops its copy of the answer.
+A call waits until every earlier call of its program has ended. It then becomes
+the active call, reserves its worst-case tokens from the budget and requests an
+endpoint. A repeatable call is dispatched at once. For a call that is not
+repeatable, the owner first writes an intent and dispatches the call only after
+`Committed`. When the call ends, its end is written together with the tokens it
+spent, and is then acknowledged to the sidecar, which drops the retained answer.
 
-Followers of a call are told its end once that is durable. Followers of a
-repeatable call are told at once if [`OwnerConfig::early_end`] is set, and
-during an outage of the table everyone is: then the sidecar's copy is the
-second one, and an end is lost only if the owner and that sidecar are both
-lost before the write.
+Followers of a call receive its end once the end is durable. Two cases don't
+wait for the write: a repeatable call if [`OwnerConfig::early_end`] is set, and
+every call during an outage of the table. In these cases the answer retained at
+the sidecar is the second copy, and an end is lost only if the owner and that
+sidecar both fail before the write.
 
-# What the process around it must keep to
+# Requirements on the surrounding process
 
-- A `Dispatch` is sent at most once. When its connection breaks, the process
-  resumes the stream; it does not send the call again.
-- `DispatchRefused` is told only for a refusal that the sidecar gave, or when
-  nothing was sent at all.
-- The commits of one shard take effect in the order in which they are given.
-- Sidecars are asked for what they retain, under the new epoch, before
-  `ShardGained` is told, so that the last owner's dispatches are refused from
-  then on. The table is read after the epoch is taken.
-- The process hears of the loss of a shard before it can gain it again.
+- It sends each `Dispatch` at most once. When the connection breaks, the
+  process resumes the stream; it does not send the call again.
+- It sends `DispatchRefused` only for a refusal by the sidecar, or when nothing
+  was sent at all.
+- The commits of one shard take effect in the order in which the owner emits
+  them.
+- Before `ShardGained`, it requests the retained answers of all sidecars under
+  the new epoch, so that the sidecars refuse dispatches of the previous owner
+  from then on. It reads the table after it has acquired the epoch.
+- It reports the loss of a shard before this entry can gain the shard again.
 - When a claim finds a call running, the process resumes its stream.
-- Sidecars tell attempts of a call apart, and refuse a call whose fingerprint
-  differs from the one they know under the same id.
-- A sidecar keeps, beside an answer, the `record` that came with its dispatch,
-  and hands it to the next owner. Without it a retained answer can't be found
-  by its key.
+- Sidecars distinguish the attempts of a call, and refuse a call whose
+  fingerprint differs from the one they have stored under the same id.
+- A sidecar stores, beside a retained answer, the `record` that came with the
+  dispatch, and sends it to the next owner. Without it, a retained answer can't
+  be found by its key.
 
-# What moves with a shard
+# State that moves with a shard
 
-`ShardGained` carries what sidecars retain, and from which epoch on that is
-everything. A call that the shard's next owner has to finish ends as
-[`CallOutcome::Moved`]. [`Owner::records`] gives the successor of a drained shard
-its durable records, so that it need not wait for the table, and the calls that
-have none yet, which it claims where sidecars did not tell. A caller whose
-opening or ending of a program was being written when the table stopped
-answering is told [`Reply::Undecided`].
+`ShardGained` carries the answers that sidecars retain, and the epoch after
+which these are complete. A call that the next owner of the shard has to finish
+ends as [`CallOutcome::Moved`]. [`Owner::records`] returns the durable records
+of a drained shard for its successor, so that the successor need not wait for
+the table, and the calls without a durable record, which the successor claims
+if sidecars did not report them. If the table stops answering while the opening
+or ending of a program is being written, the caller receives
+[`Reply::Undecided`].
 */
 
 mod account;
@@ -109,29 +112,31 @@
 };
 pub use self::view::{CallStage, CallView, ProgramView, ShardView};
 
-/// The owner of some shards.
+/// State machine that owns a set of shards and orders the calls of their
+/// programs.
 #[derive(Debug)]
 pub struct Owner {
     config: OwnerConfig,
     random: ChaCha8Rng,
     shards: BTreeMap<Shard, ShardState>,
-    /// Programs of the owned shards; a root's sub-agents follow it.
+    /// Programs of the owned shards, sorted by id; sub-agents sort after their
+    /// root.
     programs: BTreeMap<ProgramId, Program>,
     retries: RetryBudget,
     suspicion: Suspicion,
-    /// Whether the table answers.
+    /// Whether the external table answers requests.
     is_answering: bool,
     next_commit: CommitId,
-    /// Ended calls that are not durable.
+    /// Number of ended calls whose end is not durable yet.
     uncommitted: usize,
-    /// Bytes of their answers.
+    /// Total size of the answers of these calls, in bytes.
     uncommitted_bytes: u64,
-    /// What this step wants done.
+    /// Actions that the current step has produced so far.
     out: Vec<Action>,
 }
 
 impl Owner {
-    /// An owner of no shard yet, with a table that answers.
+    /// Creates an owner without shards that assumes an available table.
     pub fn new(config: OwnerConfig) -> Self {
         Self {
             random: ChaCha8Rng::seed_from_u64(config.seed),
@@ -148,14 +153,14 @@
         }
     }
 
-    /// Takes one event and tells what is to be done.
+    /// Applies one event and returns the actions that result from it.
     pub fn step(&mut self, now: Duration, event: Event) -> Vec<Action> {
-        self.take(now, event);
+        self.apply(now, event);
         self.flush(now);
         std::mem::take(&mut self.out)
     }
 
-    fn take(&mut self, now: Duration, event: Event) {
+    fn apply(&mut self, now: Duration, event: Event) {
         match event {
             Event::ShardGained {
                 shard,
@@ -240,7 +245,7 @@
         }
     }
 
-    /// A program as its owner sees it.
+    /// Returns a snapshot of a program, or `None` if it is not in memory.
     pub fn program(&self, now: Duration, id: &ProgramId) -> Option<ProgramView> {
         let program = self.programs.get(id)?;
         let account = self.programs.get(&id.root())?.account.as_deref();
@@ -258,7 +263,8 @@
         })
     }
 
-    /// A call as its owner sees it.
+    /// Returns a snapshot of an active or ended call. Calls that wait for
+    /// their turn are not found, as they have no position yet.
     pub fn call(&self, call: &CallId) -> Option<CallView> {
         let program = self.programs.get(&call.program)?;
         if let Some(turn) = program.turns.get(&call.sequence) {
@@ -294,15 +300,15 @@
         })
     }
 
-    /// The answer of an ended call while it is in memory, which is until it
-    /// is durable.
+    /// Returns the answer of an ended call. The answer stays in memory only
+    /// until it is durable.
     pub fn answer(&self, call: &CallId) -> Option<&AnswerRecord> {
         let program = self.programs.get(&call.program)?;
         let turn = program.turns.get(&call.sequence)?;
         turn.unwritten.as_ref()?.answer.as_ref()
     }
 
-    /// Programs that may keep engine memory at an endpoint.
+    /// Returns the open programs that may have a KV cache at an endpoint.
     pub fn programs_holding(&self, endpoint: &str) -> Vec<ProgramId> {
         let holding = self
             .programs
@@ -311,7 +317,7 @@
         holding.map(|(id, _)| id.clone()).collect()
     }
 
-    /// The shards that this entry owns.
+    /// Returns the shards that this entry owns.
     pub fn shards(&self) -> Vec<ShardView> {
         let view = |(shard, state): (&Shard, &ShardState)| ShardView {
             shard: *shard,
@@ -326,7 +332,8 @@
         self.shards.iter().map(view).collect()
     }
 
-    /// The account that a program spends from.
+    /// Returns the account of the program's root, from which the whole tree
+    /// spends.
     fn account_of(&mut self, id: &ProgramId) -> Option<&mut Account> {
         self.programs.get_mut(&id.root())?.account.as_deref_mut()
     }
@@ -351,14 +358,15 @@
         self.out.push(Action::Count { metric });
     }
 
-    /// When a refused caller comes back, spread so that not all come at once.
+    /// Returns the delay after which a refused caller should retry. Jitter of
+    /// up to half the base delay keeps callers from retrying all at once.
     fn retry_after(&mut self) -> Duration {
         let base = self.config.retry_after;
         base + base.mul_f64(self.random.random_range(0.0..0.5))
     }
 }
 
-/// Whether an open program may keep engine memory at an endpoint.
+/// Returns whether a program may have a KV cache at an endpoint.
 fn may_hold(program: &Program, endpoint: &str) -> bool {
     let is_warm = program.warm.as_deref() == Some(endpoint);
     let runs_there = program.active.as_deref().is_some_and(|call| {
