--- a/coordination/src/owner/attempt.rs
+++ b/coordination/src/owner/attempt.rs
@@ -51,7 +51,7 @@
         let floor = attempt_floor(shard.epoch);
         active.attempt = active.attempt.max(program.last_attempt).max(floor) + 1;
         program.last_attempt = active.attempt;
-        active.is_counted = false;
+        active.is_charged = false;
         active.stage = Stage::AwaitingBudget;
         self.reserve(now, id);
     }
@@ -260,7 +260,7 @@
         let program = self.programs.get_mut(id).expect("the call has its turn");
         program.attained_tokens = program.attained_tokens.saturating_add(spent_tokens);
         let active = program.active.as_deref().expect("it has its turn");
-        match active.is_counted {
+        match active.is_charged {
             true => self.release(id),
             false => self.settle(id, spent_tokens),
         }
--- a/coordination/src/owner/clock.rs
+++ b/coordination/src/owner/clock.rs
@@ -100,7 +100,7 @@
         program.waiting = kept;
         let untold = program.turns.iter().filter(|(_, turn)| {
             let unwritten = turn.unwritten.as_ref();
-            unwritten.is_some_and(|unwritten| !unwritten.is_told)
+            unwritten.is_some_and(|unwritten| !unwritten.is_reported)
         });
         let untold: Vec<_> = untold.map(|(sequence, _)| *sequence).collect();
         for ticket in undecided {
--- a/coordination/src/owner/ending.rs
+++ b/coordination/src/owner/ending.rs
@@ -28,7 +28,7 @@
         acknowledge.extend(call.stage.placement().cloned());
         let unwritten = Unwritten {
             answer,
-            is_told: false,
+            is_reported: false,
             acknowledge,
         };
         let is_early = call.repeatable && self.config.early_end;
@@ -66,7 +66,7 @@
         };
         let unwritten = Unwritten {
             answer: None,
-            is_told: true,
+            is_reported: true,
             acknowledge: call.earlier.clone(),
         };
         self.uncommitted += 1;
@@ -82,7 +82,7 @@
         let program = self.programs.get_mut(id).expect("the turn is there");
         let turn = program.turns.get_mut(&sequence).expect("it is there");
         let is_new = match &mut turn.unwritten {
-            Some(unwritten) => !std::mem::replace(&mut unwritten.is_told, true),
+            Some(unwritten) => !std::mem::replace(&mut unwritten.is_reported, true),
             None => false,
         };
         if is_new {
--- a/coordination/src/owner/program.rs
+++ b/coordination/src/owner/program.rs
@@ -1,4 +1,5 @@
-//! A program in memory: its queue, the one call under way, and its history.
+//! The in-memory state of a program: its waiting calls, its active call, and
+//! its ended calls, with the conversions from and to stored records.
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::sync::Arc;
@@ -14,7 +15,7 @@
 use super::action::{CallOutcome, RefusalReason};
 use super::event::{Attempt, CallRequest, Placement, Ticket};
 
-/// A program in memory.
+/// The in-memory state of a program.
 #[derive(Debug)]
 pub(super) struct Program {
     pub(super) shard: Shard,
@@ -23,37 +24,38 @@
     pub(super) account: Option<Box<Account>>,
     pub(super) turn_limit: u64,
     pub(super) wall_limit: Duration,
-    /// Age at `age_since`.
+    /// Age of the program at `age_since`.
     pub(super) age_before: Duration,
-    /// When this owner met the program, on its own clock.
+    /// Time at which this owner opened or restored the program, on the
+    /// owner's clock.
     pub(super) age_since: Duration,
     pub(super) body_digest: Box<str>,
     /// Whether the table has a record of the program.
     pub(super) is_durable: bool,
     /// The endpoint that holds the program's KV cache.
     pub(super) warm: Option<EndpointId>,
-    /// Tokens of service that the program has had.
+    /// Tokens that all finished calls of the program have used so far.
     pub(super) attained_tokens: u64,
-    /// The position that the next new call gets.
+    /// The position of the next new call.
     pub(super) next_sequence: Sequence,
     /// The last attempt at the position before `next_sequence`, or at
     /// `next_sequence` when that call was refused and its position freed.
     pub(super) last_attempt: Attempt,
-    /// Calls that wait for their turn, in the order in which they came.
+    /// Calls that wait for their turn, in order of arrival.
     pub(super) waiting: VecDeque<Waiting>,
-    /// The one call that has its turn; its position is below
+    /// The call that has its turn, at most one; its position is below
     /// `next_sequence`.
     pub(super) active: Option<Box<ActiveCall>>,
-    /// Ended calls.
+    /// Ended calls by position.
     pub(super) turns: BTreeMap<Sequence, Turn>,
     /// Positions of the calls that have a key, ended or active.
     pub(super) keys: HashMap<Box<str>, Sequence>,
-    /// Callers that are told once the program is durably open.
+    /// Callers that receive a reply once the program is durably open.
     pub(super) openers: Vec<Ticket>,
-    /// Callers that are told once the program has durably ended.
+    /// Callers that receive a reply once the program has durably ended.
     pub(super) enders: Vec<Ticket>,
-    /// The fingerprint of the last ended call, hashed, and how many calls in
-    /// a row had it.
+    /// Hash of the last ended call's fingerprint, and the number of
+    /// consecutive ended calls that had this fingerprint.
     pub(super) repeated: (u64, u32),
 }
 
@@ -61,9 +63,10 @@
 #[derive(Debug)]
 pub(super) struct Waiting {
     pub(super) request: Arc<CallRequest>,
-    /// Who waits for it; never empty.
+    /// Callers that wait for the call; never empty.
     pub(super) tickets: Vec<Ticket>,
-    /// Since when nothing but a missing call stands before it.
+    /// Time since which the call has waited only for an earlier position that
+    /// no caller has submitted.
     pub(super) gap_since: Option<Duration>,
 }
 
@@ -76,53 +79,57 @@
     pub(super) kind: CallKind,
     pub(super) target: Box<str>,
     pub(super) repeatable: bool,
-    /// The call as its caller asked for it. After a takeover there is none
-    /// until a caller sends the call again, so it can't go again before.
+    /// The request of the caller. After a takeover it is `None` until a caller
+    /// sends the call again; until then the call can't be retried.
     pub(super) request: Option<Arc<CallRequest>>,
     pub(super) attempt: Attempt,
-    /// Dispatches since a caller last asked.
+    /// Number of dispatches since a caller last requested the call.
     pub(super) tries: u32,
     pub(super) stage: Stage,
-    /// Reserved from the root's account for this attempt.
+    /// Tokens reserved from the root's account for this attempt.
     pub(super) reserved_tokens: u64,
-    /// Endpoints that must not get the call.
+    /// Endpoints to which the call must not be dispatched.
     pub(super) excluded: Vec<EndpointId>,
-    /// Where earlier attempts may have left something to acknowledge.
+    /// Placements of earlier attempts whose sidecars may retain an answer that
+    /// has to be acknowledged.
     pub(super) earlier: Vec<Placement>,
-    /// Whether an earlier attempt may have run. Then the call can't be
-    /// refused any more, only fail.
+    /// Whether an earlier attempt may have run. If so, the call can no longer
+    /// end as refused, only as failed.
     pub(super) may_have_run: bool,
-    /// Whether the table has, or may come to have, a record of the call.
+    /// Whether the table has a record of the call, or may have one once the
+    /// current commits complete.
     pub(super) has_record: bool,
-    /// Whether what this attempt spends was counted when the shard was taken.
-    pub(super) is_counted: bool,
+    /// Whether the tokens of this attempt were already charged to the account
+    /// when the shard was taken over.
+    pub(super) is_charged: bool,
 }
 
-/// How far the active call is.
+/// Progress of the active call.
 #[derive(Clone, Debug)]
 pub(super) enum Stage {
-    /// It has not run; it goes when a caller asks for it again.
+    /// The call is not in progress; the next attempt starts when a caller sends
+    /// the same request again.
     Parked,
-    /// It waits for a reservation from the budget.
+    /// The call waits for a reservation from the budget.
     AwaitingBudget,
-    /// It waits for an endpoint.
+    /// The call waits for the choice of an endpoint.
     Placing,
-    /// Its intent is being written.
+    /// The intent of the call is being written.
     CommittingIntent(Placement),
-    /// It was sent.
+    /// The call was dispatched.
     InFlight(Placement),
-    /// Its sidecar is asked what became of it.
+    /// The sidecar of the call is being queried for its outcome.
     Claiming {
         placement: Placement,
-        /// Since when.
+        /// Time of the first claim.
         since: Duration,
-        /// When to ask again.
+        /// Time at which the claim is sent again.
         next_at: Duration,
     },
 }
 
 impl Stage {
-    /// Where the call was or will be sent.
+    /// Returns the placement to which the call was or will be dispatched.
     pub(super) fn placement(&self) -> Option<&Placement> {
         match self {
             Self::Parked | Self::AwaitingBudget | Self::Placing => None,
@@ -132,12 +139,12 @@
         }
     }
 
-    /// Where the call is, as far as is known.
+    /// Returns the placement to which the call was dispatched, if it was.
     pub(super) fn sent_to(&self) -> Option<&Placement> {
         self.placement().filter(|_| self.is_sent())
     }
 
-    /// Whether the call is at an endpoint, as far as is known.
+    /// Returns whether the call was dispatched and has no known outcome.
     pub(super) fn is_sent(&self) -> bool {
         matches!(self, Self::InFlight(_) | Self::Claiming { .. })
     }
@@ -152,14 +159,15 @@
     pub(super) repeatable: bool,
     pub(super) target: Box<str>,
     pub(super) end: TurnEnd,
-    /// What is not durable yet.
+    /// The state that is kept until the end is durable; `None` afterwards.
     pub(super) unwritten: Option<Box<Unwritten>>,
 }
 
 /// How a call ended.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(super) enum TurnEnd {
-    /// It did not run before its program went on; the last attempt.
+    /// The call did not run before its program continued with another one.
+    /// Holds the last attempt.
     NotRun(Attempt),
     Done,
     Failed(FailReason),
@@ -167,7 +175,7 @@
 }
 
 impl TurnEnd {
-    /// The end as followers are told of it.
+    /// Returns the outcome that followers of the call receive.
     pub(super) fn outcome(self) -> CallOutcome {
         match self {
             Self::NotRun(_) => CallOutcome::Refused {
@@ -185,14 +193,15 @@
 #[derive(Debug)]
 pub(super) struct Unwritten {
     pub(super) answer: Option<AnswerRecord>,
-    /// Whether followers were told.
-    pub(super) is_told: bool,
-    /// Sidecars to acknowledge once it is durable.
+    /// Whether followers have received the end.
+    pub(super) is_reported: bool,
+    /// Placements whose sidecars receive an acknowledgement once the end is
+    /// durable.
     pub(super) acknowledge: Vec<Placement>,
 }
 
 impl Program {
-    /// A program that was just opened.
+    /// Creates the state of a newly opened program.
     pub(super) fn new(shard: Shard, now: Duration, body_digest: &str) -> Self {
         Self {
             shard,
@@ -218,7 +227,7 @@
         }
     }
 
-    /// A program as its record has it.
+    /// Restores a program from its stored record.
     pub(super) fn from_record(shard: Shard, now: Duration, record: &ProgramRecord) -> Self {
         Self {
             state: record.state,
@@ -232,7 +241,7 @@
         }
     }
 
-    /// The record to write now.
+    /// Returns the record of the program's current state.
     pub(super) fn record(&self, now: Duration, program: &ProgramId, epoch: Epoch) -> ProgramRecord {
         let account = self.account.as_deref();
         ProgramRecord {
@@ -251,7 +260,7 @@
         }
     }
 
-    /// The position after the last call that has a record.
+    /// Returns the position after the last call that has a record.
     fn recorded_next_sequence(&self) -> Sequence {
         match &self.active {
             Some(active) if !active.has_record => active.sequence,
@@ -270,28 +279,30 @@
         }
     }
 
-    /// The active call, if it is this one.
+    /// Returns the active call if it has this position.
     pub(super) fn active_at(&mut self, sequence: Sequence) -> Option<&mut ActiveCall> {
         let active = self.active.as_deref_mut()?;
         (active.sequence == sequence).then_some(active)
     }
 
-    /// Whether a call waits or is about to be sent. Calls at endpoints do not
-    /// count: another owner can ask their sidecars for them.
+    /// Returns whether a call waits or is about to be dispatched. Dispatched
+    /// calls do not count, because another owner can claim them at their
+    /// sidecars.
     pub(super) fn is_sending(&self) -> bool {
         let active = self.active.as_deref();
         let is_at_rest = |stage: &Stage| stage.is_sent() || matches!(stage, Stage::Parked);
         !self.waiting.is_empty() || active.is_some_and(|call| !is_at_rest(&call.stage))
     }
 
-    /// Whether a call is at an endpoint.
+    /// Returns whether the active call was dispatched.
     pub(super) fn is_sent(&self) -> bool {
         self.active
             .as_deref()
             .is_some_and(|call| call.stage.is_sent())
     }
 
-    /// Index of the first waiting call that may start at `position`.
+    /// Returns the index of the first waiting call that may start at
+    /// `position`.
     pub(super) fn first_startable(&self, position: Sequence) -> Option<usize> {
         self.waiting.iter().position(|waiting| {
             waiting
@@ -301,20 +312,21 @@
         })
     }
 
-    /// Index of the first waiting call that leaves its position to the owner.
+    /// Returns the index of the first waiting call whose request has no
+    /// position, so that the owner assigns one.
     pub(super) fn first_unnumbered(&self) -> Option<usize> {
         let mut waiting = self.waiting.iter();
         waiting.position(|waiting| waiting.request.sequence.is_none())
     }
 
-    /// Counts an ended call with this fingerprint.
+    /// Records an ended call with this fingerprint.
     pub(super) fn count_repeat(&mut self, fingerprint: &str) {
         let hash = hash_fingerprint(fingerprint);
         let repeats = self.repeats(fingerprint);
         self.repeated = (hash, repeats.saturating_add(1));
     }
 
-    /// How many calls in a row ended that had this fingerprint.
+    /// Returns how many of the last ended calls in a row had this fingerprint.
     pub(super) fn repeats(&self, fingerprint: &str) -> u32 {
         match self.repeated {
             (last, count) if last == hash_fingerprint(fingerprint) => count,
@@ -324,7 +336,7 @@
 }
 
 impl ActiveCall {
-    /// A call that gets its turn now.
+    /// Creates the active call for a request that starts at `sequence`.
     pub(super) fn new(sequence: Sequence, request: Arc<CallRequest>) -> Self {
         Self {
             sequence,
@@ -342,11 +354,11 @@
             earlier: Vec::new(),
             may_have_run: false,
             has_record: false,
-            is_counted: false,
+            is_charged: false,
         }
     }
 
-    /// A call of the owner before this one.
+    /// Restores a call of the previous owner from its record.
     pub(super) fn from_record(record: &TurnRecord, attempt: Attempt, stage: Stage) -> Self {
         Self {
             sequence: record.call.sequence,
@@ -364,11 +376,11 @@
             earlier: Vec::new(),
             may_have_run: false,
             has_record: true,
-            is_counted: false,
+            is_charged: false,
         }
     }
 
-    /// A call that has not run and can go again.
+    /// Restores a call that has not run, so that it can be retried.
     pub(super) fn from_turn(sequence: Sequence, attempt: Attempt, turn: Turn) -> Self {
         Self {
             sequence,
@@ -386,11 +398,12 @@
             earlier: Vec::new(),
             may_have_run: false,
             has_record: true,
-            is_counted: false,
+            is_charged: false,
         }
     }
 
-    /// The record to write now, or to leave with the sidecar.
+    /// Returns the record of the call's current state, for the table or for
+    /// the sidecar to retain.
     pub(super) fn record(&self, program: &ProgramId) -> TurnRecord {
         let state = match self.stage.placement() {
             None => TurnState::NotRun {
@@ -416,7 +429,7 @@
 }
 
 impl Turn {
-    /// An ended call that is not durable yet.
+    /// Creates an ended call whose end is not durable yet.
     pub(super) fn unwritten(call: ActiveCall, end: TurnEnd, unwritten: Unwritten) -> Self {
         Self {
             key: call.key,
@@ -429,7 +442,8 @@
         }
     }
 
-    /// A call as its record has it, if it is not in flight.
+    /// Restores an ended call from its record, or returns `None` if the record
+    /// is an intent.
     pub(super) fn from_record(record: &TurnRecord) -> Option<Self> {
         let end = match record.state {
             TurnState::Intent { .. } => return None,
@@ -449,14 +463,14 @@
         })
     }
 
-    /// The record to write; none once it is durable.
+    /// Returns the record to write, or `None` if the end is durable already.
     pub(super) fn record(&self, program: &ProgramId, sequence: Sequence) -> Option<TurnRecord> {
         let unwritten = self.unwritten.as_ref()?;
         let answer = unwritten.answer.clone().unwrap_or_default();
         Some(self.record_with(program, sequence, answer))
     }
 
-    /// The record with an answer in it.
+    /// Returns the record of the ended call with the given answer.
     pub(super) fn record_with(
         &self,
         program: &ProgramId,
@@ -485,7 +499,7 @@
     rosebend_util::hash_parts(&[fingerprint.as_bytes()])
 }
 
-/// The id of a program's call.
+/// Returns the id of the call at a position of a program.
 pub(super) fn call_id(program: &ProgramId, sequence: Sequence) -> CallId {
     CallId {
         program: program.clone(),
@@ -493,7 +507,7 @@
     }
 }
 
-/// Whole milliseconds of a duration.
+/// Returns the duration in whole milliseconds, saturating at `u64::MAX`.
 fn as_millis(duration: Duration) -> u64 {
     u64::try_from(duration.as_millis()).unwrap_or(u64::MAX)
 }
--- a/coordination/src/owner/submit.rs
+++ b/coordination/src/owner/submit.rs
@@ -46,7 +46,7 @@
         let program = self.programs.get_mut(&id).expect("recognise() saw it");
         let call = call_id(&id, sequence);
         if let Some(turn) = program.turns.get(&sequence) {
-            let recorded = turn.unwritten.as_ref().is_none_or(|turn| turn.is_told);
+            let recorded = turn.unwritten.as_ref().is_none_or(|turn| turn.is_reported);
             self.count(Metric::Joined);
             self.out.push(Action::Follow {
                 ticket,
--- a/coordination/src/owner/takeover.rs
+++ b/coordination/src/owner/takeover.rs
@@ -130,7 +130,7 @@
         program.next_sequence = program.next_sequence.max(call.sequence + 1);
         let Some(turn) = Turn::from_record(&record) else {
             let mut active = restored(&record);
-            active.is_counted = !is_complete;
+            active.is_charged = !is_complete;
             open_turns.insert(call.program, active);
             return;
         };
@@ -197,7 +197,7 @@
             }
             self.restore_answer(active, &call.program, answer);
         } else {
-            active.is_counted = !is_complete;
+            active.is_charged = !is_complete;
             if is_complete {
                 active.reserved_tokens = newest_tokens;
             }
@@ -220,7 +220,7 @@
         let is_early = active.repeatable && self.config.early_end;
         let unwritten = Unwritten {
             answer: Some(answer),
-            is_told: is_early || !self.is_answering,
+            is_reported: is_early || !self.is_answering,
             acknowledge,
         };
         self.insert_unwritten(id, active, TurnEnd::Done, unwritten);
@@ -244,7 +244,7 @@
         acknowledge.extend(call.stage.placement().cloned());
         let unwritten = Unwritten {
             answer: None,
-            is_told: false,
+            is_reported: false,
             acknowledge,
         };
         let end = match call.repeatable {
@@ -324,7 +324,7 @@
             self.uncommitted -= 1;
             let answer = unwritten.answer.as_ref();
             self.uncommitted_bytes -= answer.map_or(0, |answer| answer.body_bytes());
-            if !unwritten.is_told {
+            if !unwritten.is_reported {
                 self.move_on(id, sequence);
             }
         }
