--- a/coordination/src/owner/attempt.rs
+++ b/coordination/src/owner/attempt.rs
@@ -1,5 +1,6 @@
-//! One attempt of the call that has its turn: reservation, endpoint, intent,
-//! dispatch, and what comes of it.
+//! Attempts of the active call. An attempt reserves budget, requests an
+//! endpoint, writes an intent if the call is not repeatable, dispatches the
+//! call, and processes its outcome.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,11 +17,12 @@
 };
 use super::program::{ActiveCall, Stage, TurnEnd, call_id};
 
-/// Attempts that each epoch has to itself, so that two owners never use one
-/// number for different dispatches of a position.
+/// Size of the range of attempt numbers reserved for each epoch. Disjoint
+/// ranges keep two owners from using one number for different dispatches of a
+/// position.
 const ATTEMPTS_PER_EPOCH: u64 = 1000;
 
-/// The attempt before an epoch's first.
+/// Returns the number before the first attempt of an epoch.
 pub(super) fn attempt_floor(epoch: Epoch) -> Attempt {
     u32::try_from(epoch.saturating_mul(ATTEMPTS_PER_EPOCH)).unwrap_or(u32::MAX / 2)
 }
@@ -30,7 +32,8 @@
         self.programs.get_mut(id)?.active.as_deref_mut()
     }
 
-    /// The active call, if this attempt of it is the current one.
+    /// Returns the active call if `call` and `attempt` identify its current
+    /// attempt.
     fn current(&mut self, call: &CallId, attempt: Attempt) -> Option<&mut ActiveCall> {
         let program = self.programs.get_mut(&call.program)?;
         let active = program.active_at(call.sequence)?;
@@ -56,7 +59,8 @@
         self.reserve(now, id);
     }
 
-    /// Reserves the worst case of the active call and asks for an endpoint.
+    /// Reserves the worst-case tokens of the active call and requests an
+    /// endpoint.
     pub(super) fn reserve(&mut self, now: Duration, id: &ProgramId) {
         let chunk_tokens = self.config.budget_chunk_tokens;
         let Some(request) = self.active(id).and_then(|active| active.request.clone()) else {
@@ -82,7 +86,7 @@
                 self.end_not_run(now, id, RefusalReason::TableUnavailable, None);
             }
             Reservation::Draw | Reservation::Wait => {
-                let account = self.account_of(id).expect("seen above");
+                let account = self.account_of(id).expect("the account exists");
                 if !account.waiters.contains(id) {
                     account.waiters.push(id.clone());
                 }
@@ -90,7 +94,7 @@
         }
     }
 
-    /// Tries the calls again that wait for a reservation from a root's budget.
+    /// Retries the reservations that wait for budget of a root.
     pub(super) fn wake_waiters(&mut self, now: Duration, root: &ProgramId) {
         let Some(account) = self.account_of(root) else {
             return;
@@ -104,11 +108,11 @@
     }
 
     fn place(&mut self, id: &ProgramId, reserved_tokens: u64) {
-        let program = self.programs.get_mut(id).expect("the call has its turn");
-        let active = program.active.as_deref_mut().expect("it has its turn");
+        let program = self.programs.get_mut(id).expect("the program exists");
+        let active = program.active.as_deref_mut().expect("a call is active");
         active.reserved_tokens = reserved_tokens;
         active.stage = Stage::Placing;
-        let request = active.request.as_ref().expect("reserve() saw it");
+        let request = active.request.as_ref().expect("the call has a request");
         let action = Action::Place {
             call: call_id(id, active.sequence),
             attempt: active.attempt,
@@ -158,7 +162,8 @@
         }
     }
 
-    /// Sends a call whose intent is durable, if its caller still waits.
+    /// Dispatches a call whose intent is durable, unless its deadline has
+    /// passed.
     pub(super) fn intent_committed(&mut self, now: Duration, call: &CallId, attempt: Attempt) {
         let Some(active) = self.current(call, attempt) else {
             return;
@@ -176,17 +181,17 @@
     }
 
     fn dispatch(&mut self, now: Duration, id: &ProgramId, placement: Placement) {
-        let program = self.programs.get_mut(id).expect("the call has its turn");
-        let shard = self.shards.get(&program.shard).expect("it is owned");
+        let program = self.programs.get_mut(id).expect("the program exists");
+        let shard = self.shards.get(&program.shard).expect("the shard is owned");
         let age = program.age(now);
         let is_open = program.end_reason().is_none();
-        let active = program.active.as_deref_mut().expect("it has its turn");
+        let active = program.active.as_deref_mut().expect("a call is active");
         active.stage = Stage::InFlight(placement.clone());
         active.tries += 1;
         if active.tries == 1 {
             self.retries.first_dispatch();
         }
-        let request = active.request.as_ref().expect("reserve() saw it");
+        let request = active.request.as_ref().expect("the call has a request");
         self.out.push(Action::Dispatch {
             call: call_id(id, active.sequence),
             attempt: active.attempt,
@@ -202,12 +207,12 @@
         });
     }
 
-    /// Gives an attempt's reservation back unspent.
+    /// Returns the reservation of the attempt to the account unspent.
     pub(super) fn release(&mut self, id: &ProgramId) {
         self.settle(id, 0);
     }
 
-    /// Ends an attempt's reservation with what was spent.
+    /// Replaces the reservation of the attempt by the tokens it spent.
     pub(super) fn settle(&mut self, id: &ProgramId, spent_tokens: u64) {
         let Some(active) = self.active(id) else {
             return;
@@ -221,7 +226,7 @@
         }
     }
 
-    /// Counts an attempt that may have run as having spent its worst case.
+    /// Charges the worst case of an attempt that may have run.
     fn charge_worst_case(&mut self, id: &ProgramId) {
         let reserved_tokens = self.active(id).map_or(0, |active| active.reserved_tokens);
         self.settle(id, reserved_tokens);
@@ -249,27 +254,28 @@
             self.suspicion.cleared(&fingerprint);
         }
         self.settle_answer(id, &answer);
-        self.keep_warm(id);
+        self.update_warm(id);
         self.end_turn(now, id, TurnEnd::Done, Some(answer));
     }
 
-    /// Settles an attempt by its answer, unless it was counted as spent when
-    /// the shard was taken.
+    /// Charges the tokens of an answer, unless the attempt was already charged
+    /// when the shard was taken over.
     fn settle_answer(&mut self, id: &ProgramId, answer: &AnswerRecord) {
         let spent_tokens = answer.spent_tokens();
-        let program = self.programs.get_mut(id).expect("the call has its turn");
+        let program = self.programs.get_mut(id).expect("the program exists");
         program.attained_tokens = program.attained_tokens.saturating_add(spent_tokens);
-        let active = program.active.as_deref().expect("it has its turn");
+        let active = program.active.as_deref().expect("a call is active");
         match active.is_charged {
             true => self.release(id),
             false => self.settle(id, spent_tokens),
         }
     }
 
-    /// Notes where the program's KV cache is now, and frees it elsewhere.
-    fn keep_warm(&mut self, id: &ProgramId) {
-        let program = self.programs.get_mut(id).expect("the call has its turn");
-        let active = program.active.as_deref().expect("it has its turn");
+    /// Records the endpoint that now holds the program's KV cache, and frees
+    /// the cache at the previous one.
+    fn update_warm(&mut self, id: &ProgramId) {
+        let program = self.programs.get_mut(id).expect("the program exists");
+        let active = program.active.as_deref().expect("a call is active");
         if active.kind != CallKind::Model {
             return;
         }
@@ -310,13 +316,13 @@
             None => {
                 let excluded =
                     (reason != DispatchRefusal::OtherIncarnation).then_some(placement.endpoint);
-                self.go_elsewhere(now, id, excluded, RetryReason::Refused, Some(retry_after));
+                self.retry_not_run(now, id, excluded, RetryReason::Refused, Some(retry_after));
             }
         }
     }
 
-    /// Tries a call again that did not run, or refuses it.
-    fn go_elsewhere(
+    /// Retries a call that did not run, or ends it if no retry is possible.
+    fn retry_not_run(
         &mut self,
         now: Duration,
         id: &ProgramId,
@@ -325,7 +331,7 @@
         retry_after: Option<Duration>,
     ) {
         let max_attempts = self.config.max_attempts;
-        let active = self.active(id).expect("the call has its turn");
+        let active = self.active(id).expect("a call is active");
         active.excluded.extend(excluded);
         active.stage = Stage::Parked;
         if active.tries >= max_attempts {
@@ -353,7 +359,8 @@
         let Some(active) = self.current(call, attempt) else {
             return;
         };
-        // A stream can tell the end before the reply to a claim arrives.
+        // The stream can report a failure while a claim is still pending, so
+        // `Stage::Claiming` is accepted as well as `Stage::InFlight`.
         let Some(placement) = active.stage.sent_to().cloned() else {
             return;
         };
@@ -364,7 +371,7 @@
         if !may_have_run {
             self.release(id);
             let excluded = Some(placement.endpoint);
-            return self.go_elsewhere(now, id, excluded, RetryReason::EndpointFailed, None);
+            return self.retry_not_run(now, id, excluded, RetryReason::EndpointFailed, None);
         }
         let is_suspect = suspects.is_empty() || suspects.contains(call);
         let is_crash = reason == DispatchFailure::EndpointCrashed && is_suspect;
@@ -373,7 +380,7 @@
             true => RetryReason::EndpointCrashed,
             false => RetryReason::EndpointFailed,
         };
-        self.ran_badly(
+        self.fail_attempt(
             now,
             id,
             retry,
@@ -382,8 +389,8 @@
         );
     }
 
-    /// Counts a crash against the active call's request; true when that
-    /// quarantines it.
+    /// Records a crash against the request of the active call, and returns
+    /// whether the request is quarantined.
     fn suspect(&mut self, id: &ProgramId) -> bool {
         let request = self.active(id).and_then(|active| active.request.clone());
         let Some(request) = request else {
@@ -398,9 +405,9 @@
         self.suspicion.is_quarantined(&request.fingerprint)
     }
 
-    /// Takes note that an attempt may have run and brought no answer: a
-    /// repeatable call goes again, for another the outcome is unknown.
-    fn ran_badly(
+    /// Handles an attempt that may have run but produced no answer. A
+    /// repeatable call is retried; any other call ends with an unknown outcome.
+    fn fail_attempt(
         &mut self,
         now: Duration,
         id: &ProgramId,
@@ -410,7 +417,7 @@
     ) {
         self.charge_worst_case(id);
         let max_attempts = self.config.max_attempts;
-        let active = self.active(id).expect("the call has its turn");
+        let active = self.active(id).expect("a call is active");
         let placement = active.stage.placement().cloned();
         active
             .excluded
@@ -441,7 +448,7 @@
         }
     }
 
-    /// Asks the sidecar that has the call what became of it.
+    /// Starts to query the sidecar of the call for its outcome.
     pub(super) fn start_claim(&mut self, now: Duration, id: &ProgramId, placement: Placement) {
         let next_at = now + self.config.claim_interval;
         if let Some(active) = self.active(id) {
@@ -497,17 +504,17 @@
                 may_have_run: false,
             } => {
                 self.release(id);
-                self.go_elsewhere(now, id, None, RetryReason::Buried, None);
+                self.retry_not_run(now, id, None, RetryReason::Buried, None);
             }
             ClaimOutcome::Failed { may_have_run: true } => {
                 let unknown = UnknownReason::EndpointFailed;
-                self.ran_badly(now, id, RetryReason::EndpointFailed, unknown, false);
+                self.fail_attempt(now, id, RetryReason::EndpointFailed, unknown, false);
             }
             ClaimOutcome::Unknown => {
                 let unknown = UnknownReason::SidecarReplaced;
-                self.ran_badly(now, id, RetryReason::ConnectionLost, unknown, false);
+                self.fail_attempt(now, id, RetryReason::ConnectionLost, unknown, false);
             }
-            // The tick asks again, or gives up.
+            // The next ticks repeat the claim until it expires.
             ClaimOutcome::Unreachable => {}
             ClaimOutcome::StaleEpoch => {
                 let shard = self.programs.get(id).map(|program| program.shard);
@@ -516,10 +523,10 @@
         }
     }
 
-    /// Gives up asking a sidecar.
+    /// Ends the claim of a call whose sidecar did not answer in time.
     pub(super) fn claim_expired(&mut self, now: Duration, id: &ProgramId) {
         let unknown = UnknownReason::SidecarUnreachable;
-        self.ran_badly(now, id, RetryReason::ClaimUnreachable, unknown, false);
+        self.fail_attempt(now, id, RetryReason::ClaimUnreachable, unknown, false);
     }
 }
 
@@ -531,7 +538,8 @@
     }
 }
 
-/// The refusal that a caller is given when no other endpoint would do better.
+/// Returns the refusal for the caller, or `None` if another endpoint may
+/// accept the call.
 fn final_refusal(reason: DispatchRefusal) -> Option<RefusalReason> {
     match reason {
         DispatchRefusal::Deadline => Some(RefusalReason::Deadline),
