--- a/coordination/src/owner/attempt.rs
+++ b/coordination/src/owner/attempt.rs
@@ -66,7 +66,7 @@
         let Some(request) = self.active(id).and_then(|active| active.request.clone()) else {
             return;
         };
-        if let Some(reason) = self.why_not(now, &request) {
+        if let Some(reason) = self.admission_refusal(now, &request) {
             return self.end_not_run(now, id, reason, None);
         }
         let need_tokens = request.worst_case_tokens();
--- a/coordination/src/owner/submit.rs
+++ b/coordination/src/owner/submit.rs
@@ -1,4 +1,6 @@
-//! Calls as they come: duplicates, order, and whose turn it is.
+//! Submission of calls. This module joins duplicates of a call, checks whether
+//! a new call is admitted, and starts the calls of a program one at a time in
+//! the order of their positions.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,17 +13,17 @@
 use super::event::{CallRequest, Ticket};
 use super::program::{ActiveCall, Program, Stage, Waiting, call_id};
 
-/// What a call is to the calls that are known.
+/// Relation of a request to the calls of its program.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-enum Known {
-    /// It is new.
+enum CallMatch {
+    /// No call matches the request.
     New,
-    /// It is the call at this position, ended or under way.
+    /// The request matches the active or ended call at this position.
     Same(Sequence),
-    /// It waits already, at this index.
-    Waits(usize),
-    /// It can't be what it says it is.
-    Wrong(RefusalReason),
+    /// The request matches the waiting call at this index.
+    Queued(usize),
+    /// The key or position of the request belongs to another call.
+    Conflict(RefusalReason),
 }
 
 impl Owner {
@@ -32,18 +34,19 @@
             let is_owned = self.shards.contains_key(&id.shard(self.config.shard_count));
             return self.refuse(ticket, unknown_program(is_owned));
         };
-        match recognise(program, &request) {
-            Known::Wrong(reason) => self.refuse(ticket, reason),
-            Known::Same(sequence) => self.join(now, ticket, sequence, request),
-            Known::Waits(index) => self.join_waiting(ticket, &id, index),
-            Known::New => self.accept(now, ticket, request),
+        match match_call(program, &request) {
+            CallMatch::Conflict(reason) => self.refuse(ticket, reason),
+            CallMatch::Same(sequence) => self.join(now, ticket, sequence, request),
+            CallMatch::Queued(index) => self.join_waiting(ticket, &id, index),
+            CallMatch::New => self.accept(now, ticket, request),
         }
     }
 
-    /// Attaches a caller to the one call that its key or position stands for.
+    /// Attaches a caller to the active or ended call that its request matches,
+    /// and starts the next attempt of that call if it is parked.
     fn join(&mut self, now: Duration, ticket: Ticket, sequence: Sequence, request: CallRequest) {
         let id = request.program.clone();
-        let program = self.programs.get_mut(&id).expect("recognise() saw it");
+        let program = self.programs.get_mut(&id).expect("the program exists");
         let call = call_id(&id, sequence);
         if let Some(turn) = program.turns.get(&sequence) {
             let recorded = turn.unwritten.as_ref().is_none_or(|turn| turn.is_reported);
@@ -55,9 +58,9 @@
             });
             return;
         }
-        let active = program.active_at(sequence).expect("recognise() saw it");
+        let active = program.active_at(sequence).expect("the call is active");
         let is_parked = matches!(active.stage, Stage::Parked);
-        if is_parked && let Some(reason) = self.why_not(now, &request) {
+        if is_parked && let Some(reason) = self.admission_refusal(now, &request) {
             return self.refuse(ticket, reason);
         }
         self.count(Metric::Joined);
@@ -66,8 +69,8 @@
             call,
             recorded: false,
         });
-        let program = self.programs.get_mut(&id).expect("seen above");
-        let active = program.active_at(sequence).expect("seen above");
+        let program = self.programs.get_mut(&id).expect("the program exists");
+        let active = program.active_at(sequence).expect("the call is active");
         active.request.get_or_insert_with(|| Arc::new(request));
         if is_parked {
             active.tries = 0;
@@ -78,19 +81,19 @@
 
     fn join_waiting(&mut self, ticket: Ticket, id: &ProgramId, index: usize) {
         self.count(Metric::Joined);
-        let program = self.programs.get_mut(id).expect("recognise() saw it");
+        let program = self.programs.get_mut(id).expect("the program exists");
         program.waiting[index].tickets.push(ticket);
     }
 
-    /// Takes a new call, or refuses it at once.
+    /// Queues a new call, or refuses it at once.
     fn accept(&mut self, now: Duration, ticket: Ticket, request: CallRequest) {
-        if let Some(reason) = self.why_not(now, &request) {
+        if let Some(reason) = self.admission_refusal(now, &request) {
             return self.refuse(ticket, reason);
         }
         let id = request.program.clone();
-        let most = self.config.max_waiting;
-        let program = self.programs.get_mut(&id).expect("recognise() saw it");
-        if program.waiting.len() >= most {
+        let max_queued = self.config.max_waiting;
+        let program = self.programs.get_mut(&id).expect("the program exists");
+        if program.waiting.len() >= max_queued {
             return self.refuse(ticket, RefusalReason::ProgramQueueFull);
         }
         program.waiting.push_back(Waiting {
@@ -101,8 +104,9 @@
         self.schedule(now, &id);
     }
 
-    /// Why a call can't run now, whatever its place in the order.
-    pub(super) fn why_not(
+    /// Returns why a call can't run now, regardless of its position, or `None`
+    /// if it can.
+    pub(super) fn admission_refusal(
         &mut self,
         now: Duration,
         request: &CallRequest,
@@ -135,7 +139,7 @@
             .then_some(RefusalReason::BudgetExhausted)
     }
 
-    /// Gives the next call its turn, if the one before it has ended.
+    /// Starts the next waiting call if the call before it has ended.
     pub(super) fn schedule(&mut self, now: Duration, id: &ProgramId) {
         let Some(program) = self.programs.get_mut(id) else {
             return;
@@ -145,27 +149,27 @@
                 let position = program.next_sequence;
                 (program.first_startable(position), position)
             }
-            // A call for which nobody asks any more holds up numbered calls
-            // only.
+            // A parked call that no caller requests blocks only the calls that
+            // name a position; a call without a position supersedes it.
             Some(active) if matches!(active.stage, Stage::Parked) => {
                 (program.first_unnumbered(), active.sequence)
             }
             Some(_) => return,
         };
         let Some(index) = startable else {
-            return self.note_gap(now, id, position);
+            return self.record_gap(now, id, position);
         };
-        let waiting = program.waiting.remove(index).expect("the index was found");
+        let waiting = program.waiting.remove(index).expect("the index is valid");
         if program.active.is_some() {
             self.supersede(id);
         }
         self.start(now, id, waiting);
     }
 
-    /// Refuses numbered calls whose place was taken, and starts to count how
-    /// long the others wait for the one before them.
-    fn note_gap(&mut self, now: Duration, id: &ProgramId, position: Sequence) {
-        let program = self.programs.get_mut(id).expect("schedule() saw it");
+    /// Refuses the waiting calls whose position was given to another call, and
+    /// records the time since which the others wait for the missing call.
+    fn record_gap(&mut self, now: Duration, id: &ProgramId, position: Sequence) {
+        let program = self.programs.get_mut(id).expect("the program exists");
         let (late, early) = std::mem::take(&mut program.waiting)
             .into_iter()
             .partition(|waiting| waiting.request.sequence < Some(position));
@@ -186,11 +190,11 @@
         }
     }
 
-    /// Starts a waiting call at the next position, unless a limit ends its
-    /// program.
+    /// Starts a waiting call at the next position, or ends the program if the
+    /// call exceeds a limit.
     fn start(&mut self, now: Duration, id: &ProgramId, waiting: Waiting) {
         let loop_limit = self.config.loop_limit;
-        let program = self.programs.get_mut(id).expect("schedule() saw it");
+        let program = self.programs.get_mut(id).expect("the program exists");
         let position = program.next_sequence;
         let limit = if position > program.turn_limit {
             Some(EndReason::TurnLimit)
@@ -211,7 +215,7 @@
                 recorded: false,
             });
         }
-        let program = self.programs.get_mut(id).expect("seen above");
+        let program = self.programs.get_mut(id).expect("the program exists");
         for waiting in &mut program.waiting {
             waiting.gap_since = None;
         }
@@ -224,8 +228,8 @@
         self.begin_attempt(now, id);
     }
 
-    /// Forgets a caller that waits for its call's turn; a call for which
-    /// nobody waits any more does not start.
+    /// Removes a caller from all queues, and drops the waiting calls that have
+    /// no caller left.
     pub(super) fn caller_gone(&mut self, ticket: Ticket) {
         for program in self.programs.values_mut() {
             program.openers.retain(|opener| *opener != ticket);
@@ -247,8 +251,9 @@
     }
 }
 
-/// Finds the call that a request stands for, by its key or its position.
-fn recognise(program: &Program, request: &CallRequest) -> Known {
+/// Matches a request to an existing call, first by its key, then by its
+/// position.
+fn match_call(program: &Program, request: &CallRequest) -> CallMatch {
     if let Some(key) = &request.key {
         if let Some(sequence) = program.keys.get(key.as_str()) {
             return same_by_key(program, request, *sequence);
@@ -257,50 +262,51 @@
         if let Some(index) = program.waiting.iter().position(waits) {
             let is_same = program.waiting[index].request.body_digest == request.body_digest;
             return match is_same {
-                true => Known::Waits(index),
-                false => Known::Wrong(RefusalReason::KeyReused),
+                true => CallMatch::Queued(index),
+                false => CallMatch::Conflict(RefusalReason::KeyReused),
             };
         }
     }
     match request.sequence {
-        None => Known::New,
+        None => CallMatch::New,
         Some(sequence) => same_by_sequence(program, request, sequence),
     }
 }
 
-fn same_by_key(program: &Program, request: &CallRequest, sequence: Sequence) -> Known {
+fn same_by_key(program: &Program, request: &CallRequest, sequence: Sequence) -> CallMatch {
     if known_digest(program, sequence) != Some(&request.body_digest) {
-        return Known::Wrong(RefusalReason::KeyReused);
+        return CallMatch::Conflict(RefusalReason::KeyReused);
     }
     match request.sequence {
-        Some(other) if other != sequence => Known::Wrong(RefusalReason::WrongSequence),
-        _ => Known::Same(sequence),
+        Some(other) if other != sequence => CallMatch::Conflict(RefusalReason::WrongSequence),
+        _ => CallMatch::Same(sequence),
     }
 }
 
-fn same_by_sequence(program: &Program, request: &CallRequest, sequence: Sequence) -> Known {
+fn same_by_sequence(program: &Program, request: &CallRequest, sequence: Sequence) -> CallMatch {
     let waits = |waiting: &Waiting| waiting.request.sequence == Some(sequence);
     if let Some(index) = program.waiting.iter().position(waits) {
         return match is_same_call(request, &program.waiting[index]) {
-            true => Known::Waits(index),
-            false => Known::Wrong(RefusalReason::WrongSequence),
+            true => CallMatch::Queued(index),
+            false => CallMatch::Conflict(RefusalReason::WrongSequence),
         };
     }
     if let Some(digest) = known_digest(program, sequence) {
         let has_key = request.key.is_some() && known_key(program, sequence).is_some();
         if digest == request.body_digest && !has_key {
-            return Known::Same(sequence);
+            return CallMatch::Same(sequence);
         }
-        return Known::Wrong(RefusalReason::WrongSequence);
+        return CallMatch::Conflict(RefusalReason::WrongSequence);
     }
     match sequence < program.next_sequence {
-        true => Known::Wrong(RefusalReason::WrongSequence),
-        false => Known::New,
+        true => CallMatch::Conflict(RefusalReason::WrongSequence),
+        false => CallMatch::New,
     }
 }
 
-/// Whether a request is the waiting call at the same position. A key that
-/// both have differs here, or it would have been found by it.
+/// Returns whether a request matches the waiting call at the same position.
+/// If both have a key, the keys differ, because [`match_call`] looks up equal
+/// keys first.
 fn is_same_call(request: &CallRequest, waiting: &Waiting) -> bool {
     let has_key = request.key.is_some() && waiting.request.key.is_some();
     !has_key && waiting.request.body_digest == request.body_digest
