--- a/coordination/src/owner/clock.rs
+++ b/coordination/src/owner/clock.rs
@@ -109,7 +109,7 @@
         }
         self.refuse_waiting(refused, RefusalReason::TableUnavailable);
         for sequence in untold {
-            self.tell_end(id, sequence);
+            self.report_end(id, sequence);
         }
         if self.needs_table(id) {
             self.release(id);
--- a/coordination/src/owner/durable.rs
+++ b/coordination/src/owner/durable.rs
@@ -212,7 +212,7 @@
         if !is_there {
             return;
         }
-        self.tell_end(id, call.sequence);
+        self.report_end(id, call.sequence);
         let program = self.programs.get_mut(id).expect("seen above");
         let turn = program.turns.get_mut(&call.sequence).expect("seen above");
         let shard = program.shard;
--- a/coordination/src/owner/ending.rs
+++ b/coordination/src/owner/ending.rs
@@ -1,4 +1,6 @@
-//! How the call that has its turn loses it: ended, or not run.
+//! The end of the active call. A call either ends for good with a recorded
+//! outcome, or is refused or parked without having run, after which the next
+//! call of the program starts.
 
 use std::time::Duration;
 
@@ -10,7 +12,7 @@
 use super::program::{ActiveCall, Program, Stage, Turn, TurnEnd, Unwritten, call_id};
 
 impl Owner {
-    /// Ends the active call for good.
+    /// Ends the active call with an outcome that is written to the table.
     pub(super) fn end_turn(
         &mut self,
         now: Duration,
@@ -18,8 +20,8 @@
         end: TurnEnd,
         answer: Option<AnswerRecord>,
     ) {
-        let program = self.programs.get_mut(id).expect("the call has its turn");
-        let call = *program.active.take().expect("it has its turn");
+        let program = self.programs.get_mut(id).expect("the program exists");
+        let call = *program.active.take().expect("a call is active");
         let sequence = call.sequence;
         let stale_holds = stale_holds(program, &call);
         self.uncommitted += 1;
@@ -42,20 +44,20 @@
         self.mark_end(&call_id(id, sequence));
         self.release_holds(id, stale_holds);
         if is_early || !self.is_answering {
-            self.tell_end(id, sequence);
+            self.report_end(id, sequence);
         }
         self.release_if_ended(id);
         self.wake_waiters(now, &id.root());
         self.schedule(now, id);
     }
 
-    /// Ends a call that is parked, because its program goes on without it. Its
-    /// position is not given to another call: an intent in the table, or an
-    /// answer at a sidecar, would be taken for the other's. A call that has
-    /// not run can be sent again and gets a new position.
+    /// Ends a parked call because its program continues with another one. The
+    /// position is not reused: an intent in the table or an answer retained at
+    /// a sidecar would be attributed to the new call. A call that has not run
+    /// can be submitted again and gets a new position.
     pub(super) fn supersede(&mut self, id: &ProgramId) {
-        let program = self.programs.get_mut(id).expect("schedule() saw it");
-        let call = *program.active.take().expect("schedule() saw it");
+        let program = self.programs.get_mut(id).expect("the program exists");
+        let call = *program.active.take().expect("a call is active");
         let sequence = call.sequence;
         if let (Some(key), false) = (&call.key, call.may_have_run) {
             program.keys.remove(key);
@@ -77,10 +79,14 @@
         self.mark_end(&call_id(id, sequence));
     }
 
-    /// Tells followers the end of a call, once.
-    pub(super) fn tell_end(&mut self, id: &ProgramId, sequence: u64) {
-        let program = self.programs.get_mut(id).expect("the turn is there");
-        let turn = program.turns.get_mut(&sequence).expect("it is there");
+    /// Reports the end of a call to its followers, unless it was already
+    /// reported.
+    pub(super) fn report_end(&mut self, id: &ProgramId, sequence: u64) {
+        let program = self.programs.get_mut(id).expect("the program exists");
+        let turn = program
+            .turns
+            .get_mut(&sequence)
+            .expect("the call has ended");
         let is_new = match &mut turn.unwritten {
             Some(unwritten) => !std::mem::replace(&mut unwritten.is_reported, true),
             None => false,
@@ -94,14 +100,15 @@
         }
     }
 
-    /// Ends the active call as failed; an earlier attempt may have run.
+    /// Ends the active call as failed, although an earlier attempt may have
+    /// run.
     pub(super) fn fail(&mut self, now: Duration, id: &ProgramId, reason: FailReason) {
         self.count(Metric::Failure(reason));
         self.end_turn(now, id, TurnEnd::Failed(reason), None);
     }
 
-    /// Takes the turn from the active call, which has not run. Its followers
-    /// are told so; if an earlier attempt may have run it fails instead.
+    /// Ends the active call as refused if it has not run, or as failed if an
+    /// earlier attempt may have run.
     pub(super) fn end_not_run(
         &mut self,
         now: Duration,
@@ -109,8 +116,8 @@
         reason: RefusalReason,
         retry_after: Option<Duration>,
     ) {
-        let program = self.programs.get_mut(id).expect("the call has its turn");
-        let active = program.active.as_deref_mut().expect("it has its turn");
+        let program = self.programs.get_mut(id).expect("the program exists");
+        let active = program.active.as_deref_mut().expect("a call is active");
         if active.may_have_run {
             return self.fail(now, id, fail_reason(reason));
         }
@@ -127,11 +134,12 @@
         self.drop_turn(now, id);
     }
 
-    /// Takes the turn from the active call, whose request nobody has sent to
-    /// this owner. There may be readers, who would wait in vain for more.
+    /// Parks the active call, whose request no caller has sent to this owner.
+    /// Its end is reported, because followers would otherwise wait
+    /// indefinitely.
     pub(super) fn park(&mut self, now: Duration, id: &ProgramId) {
-        let program = self.programs.get(id).expect("the call has its turn");
-        let active = program.active.as_deref().expect("it has its turn");
+        let program = self.programs.get(id).expect("the program exists");
+        let active = program.active.as_deref().expect("a call is active");
         let may_have_run = active.may_have_run;
         self.out.push(Action::CallEnded {
             call: call_id(id, active.sequence),
@@ -140,12 +148,12 @@
         self.drop_turn(now, id);
     }
 
-    /// Frees the position of the active call, or keeps the call parked there
-    /// if a record of it may be in the table or a later owner must not take
-    /// it for new.
+    /// Frees the position of the active call. The call stays parked at its
+    /// position instead if the table may have a record of it, or if it may have
+    /// run and a later owner must not treat it as new.
     fn drop_turn(&mut self, now: Duration, id: &ProgramId) {
-        let program = self.programs.get_mut(id).expect("the call has its turn");
-        let active = program.active.as_deref_mut().expect("it has its turn");
+        let program = self.programs.get_mut(id).expect("the program exists");
+        let active = program.active.as_deref_mut().expect("a call is active");
         let sequence = active.sequence;
         if active.has_record || active.may_have_run {
             active.stage = Stage::Parked;
@@ -166,7 +174,7 @@
         self.schedule(now, id);
     }
 
-    /// Frees what an ended program holds, once none of its calls is at an
+    /// Frees the KV cache of an ended program once none of its calls is at an
     /// endpoint.
     pub(super) fn release_if_ended(&mut self, id: &ProgramId) {
         let Some(program) = self.programs.get_mut(id) else {
@@ -188,7 +196,8 @@
     }
 }
 
-/// Endpoints where attempts without an answer may have left engine memory.
+/// Returns the endpoints where earlier attempts without an answer may have left
+/// a KV cache.
 fn stale_holds(program: &Program, call: &ActiveCall) -> Vec<String> {
     if call.kind != CallKind::Model {
         return Vec::new();
@@ -201,7 +210,7 @@
     stale
 }
 
-/// The failure of a call that can't go again for this reason.
+/// Returns the failure of a call that can't be retried for this reason.
 fn fail_reason(reason: RefusalReason) -> FailReason {
     match reason {
         RefusalReason::BudgetExhausted => FailReason::BudgetExhausted,
