--- a/coordination/src/owner/action.rs
+++ b/coordination/src/owner/action.rs
@@ -1,4 +1,5 @@
-//! What the owner wants done.
+//! The actions that the owner returns, and the replies, outcomes and metrics
+//! that they carry.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,7 +12,7 @@
 use super::event::{Attempt, CallRequest, CommitId, Placement, Ticket};
 use crate::warmth::SharedPrefix;
 
-/// Why a request was not run.
+/// The reason for which a request was not run.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub enum RefusalReason {
     /// This entry does not own the program's shard.
@@ -28,7 +29,7 @@
     KeyReused,
     /// The position belongs to another call.
     WrongSequence,
-    /// The call before this one did not come in time.
+    /// No caller submitted the preceding call in time.
     SequenceGap,
     /// The program has too many waiting calls.
     ProgramQueueFull,
@@ -36,7 +37,7 @@
     BudgetExhausted,
     /// The table does not answer, and the call needs it.
     TableUnavailable,
-    /// Too many answers wait to be written.
+    /// Too many ended calls wait to be written.
     UncommittedFull,
     /// The request crashed endpoints.
     Quarantined,
@@ -50,16 +51,16 @@
     Saturated,
     /// Endpoints refused the call on every attempt.
     Attempts,
-    /// Retries are used up for now.
+    /// The retry budget of the owner is exhausted for now.
     RetryBudget,
     /// The endpoint does not accept a call of this size or form.
     Invalid,
-    /// The call had not run, and its program went on without it.
+    /// The call had not run when its program continued with another one.
     Superseded,
 }
 
 impl RefusalReason {
-    /// The reason as a counter's label.
+    /// Returns the value of the reason as a metric label.
     pub fn label(self) -> &'static str {
         match self {
             Self::NotOwner => "not_owner",
@@ -87,25 +88,25 @@
     }
 }
 
-/// Why a call goes again.
+/// The reason for which a call is dispatched again.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub enum RetryReason {
     /// A sidecar refused it.
     Refused,
-    /// The endpoint crashed; the call runs alone next.
+    /// The endpoint crashed; the next attempt runs without concurrent calls.
     EndpointCrashed,
-    /// The endpoint failed otherwise.
+    /// The endpoint failed in another way.
     EndpointFailed,
     /// The stream to the sidecar broke.
     ConnectionLost,
-    /// A claim proved that it had not run.
+    /// A claim proved that the call had not run and blocked the attempt.
     Buried,
-    /// The sidecar could not be asked again.
+    /// The sidecar did not answer a claim in time.
     ClaimUnreachable,
 }
 
 impl RetryReason {
-    /// The reason as a counter's label.
+    /// Returns the value of the reason as a metric label.
     pub fn label(self) -> &'static str {
         match self {
             Self::Refused => "refused",
@@ -118,31 +119,31 @@
     }
 }
 
-/// The answer to one caller that follows no call.
+/// The reply to one caller that does not follow a call.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Reply {
-    /// The program is open, durably.
+    /// The program is durably open.
     Opened {
-        /// False when it was open with the same request before.
+        /// Whether this request opened it; false if an equal request did before.
         created: bool,
     },
-    /// The program has ended, durably.
+    /// The program has durably ended.
     Ended {
-        /// Why.
+        /// The reason for which it ended.
         reason: EndReason,
     },
     /// The request was not run.
     Refused {
-        /// Why.
+        /// The reason of the refusal.
         reason: RefusalReason,
-        /// When to come back.
+        /// The delay after which the caller should retry.
         retry_after: Duration,
     },
     /// The request was being written when the table stopped answering or the
-    /// shard was lost: it may or may not take hold. The same request can be
-    /// sent again.
+    /// shard was lost, so it may or may not take effect. The caller can send
+    /// the same request again.
     Undecided {
-        /// When to come back.
+        /// The delay after which the caller should retry.
         retry_after: Duration,
     },
 }
@@ -154,98 +155,99 @@
     Done,
     /// It ended without an answer and is not sent again.
     Failed {
-        /// Why.
+        /// The reason of the failure.
         reason: FailReason,
     },
     /// It may have run and is not sent again.
     Unknown {
-        /// Why nobody can tell.
+        /// The reason for which the outcome is unknown.
         reason: UnknownReason,
     },
     /// It was not run; the same request may be sent again.
     Refused {
-        /// Why.
+        /// The reason of the refusal.
         reason: RefusalReason,
-        /// When to come back.
+        /// The delay after which the caller should retry.
         retry_after: Duration,
     },
-    /// It is not under way any more, and this owner has no request that it could
-    /// send again: it was taken over with the shard, and only readers came. The
-    /// same request goes on with it.
+    /// It is no longer in progress, and this owner has no request that it could
+    /// dispatch: the call was taken over with the shard, and no caller has
+    /// submitted it since. Submitting the same request resumes it.
     Parked {
-        /// Whether it may have run.
+        /// Whether an earlier attempt may have run.
         may_have_run: bool,
     },
-    /// The shard went to another owner with the call under way. Whoever
-    /// follows sends the same request, with the call's position, to it.
+    /// The shard moved to another owner while the call was in progress.
+    /// Followers send the same request, with the call's position, to the new
+    /// owner.
     Moved,
 }
 
-/// What is counted.
+/// An occurrence that a metric counts.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub enum Metric {
     /// A request was refused.
     Refusal(RefusalReason),
-    /// A call goes again.
+    /// A call was retried.
     Retry(RetryReason),
-    /// A caller joined a call that was there.
+    /// A caller joined an existing call.
     Joined,
     /// A program was ended by a limit.
     LimitReached(EndReason),
-    /// A call's outcome is not known.
+    /// A call ended with an unknown outcome.
     OutcomeUnknown(UnknownReason),
-    /// A call failed for good.
+    /// A call failed permanently.
     Failure(FailReason),
     /// A request was quarantined.
     Quarantined,
 }
 
-/// What the owner wants done.
+/// An operation that the surrounding process has to carry out for the owner.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Action {
-    /// Answer a caller.
+    /// Sends a reply to a caller.
     Reply {
         /// The caller.
         ticket: Ticket,
-        /// The answer.
+        /// The reply.
         reply: Reply,
     },
-    /// Attach a caller to a call.
+    /// Attaches a caller to a call, so that it receives the outcome.
     Follow {
         /// The caller.
         ticket: Ticket,
         /// The call.
         call: CallId,
-        /// Whether the call has ended already: its outcome is in
-        /// [`Owner::call`](super::Owner::call), its answer in
-        /// [`Owner::answer`](super::Owner::answer) or else in the table. No
-        /// `CallEnded` follows for this caller then.
+        /// Whether the end of the call is durable or was already reported. If so,
+        /// no `CallEnded` follows for this caller: the outcome is available from
+        /// [`Owner::call`](super::Owner::call), and the answer from
+        /// [`Owner::answer`](super::Owner::answer) or else from the table.
         recorded: bool,
     },
-    /// Choose an endpoint and answer with `Event::Placed`.
+    /// Chooses an endpoint and returns it with `Event::Placed`.
     Place {
         /// The call.
         call: CallId,
         /// The attempt.
         attempt: Attempt,
-        /// What the call runs on.
+        /// The kind of endpoint that runs the call.
         kind: CallKind,
-        /// The model's or the tool's name.
+        /// The name of the model or tool.
         target: String,
-        /// Upper bound of the prompt's tokens.
+        /// Upper bound of the prompt length, in tokens.
         prompt_tokens: u64,
-        /// Upper bound of the answer's tokens.
+        /// Upper bound of the answer length, in tokens.
         max_answer_tokens: u64,
-        /// Prefixes that other prompts may share, the shortest first.
+        /// Prompt prefixes that other prompts may share, shortest first.
         shared_prefixes: Vec<SharedPrefix>,
         /// The endpoint that holds the program's KV cache.
         warm: Option<EndpointId>,
-        /// Endpoints that this call must not go to.
+        /// Endpoints to which the call must not be dispatched.
         excluded: Vec<EndpointId>,
-        /// Whether the call must run with no other beside it.
+        /// Whether the call must run without concurrent calls.
         alone: bool,
     },
-    /// Send a call to its sidecar, at most once, and tell what comes of it.
+    /// Sends a call to its sidecar, at most once, and reports the outcome.
     Dispatch {
         /// The call.
         call: CallId,
@@ -255,52 +257,56 @@
         shard: Shard,
         /// The epoch under which this entry owns it.
         epoch: Epoch,
-        /// Where to.
+        /// The endpoint and sidecar incarnation that run the call.
         placement: Placement,
-        /// The call.
+        /// The request of the caller.
         request: Arc<CallRequest>,
-        /// What the sidecar retains beside the answer, for the next owner.
+        /// The record that the sidecar retains beside the answer, for the next
+        /// owner.
         record: Box<TurnRecord>,
-        /// Service that the whole program has had so far.
+        /// Tokens that finished calls of the program have used under this owner.
         attained_tokens: u64,
         /// Time since the program was opened.
         program_age: Duration,
-        /// Keep the program's KV cache after the call.
+        /// Whether the endpoint keeps the program's KV cache after the call.
         hold_kv: bool,
-        /// Run the call with no other beside it.
+        /// Whether the call must run without concurrent calls.
         alone: bool,
     },
-    /// Write records, all or none, if the shard still has this epoch.
+    /// Writes all records atomically if the shard still has this epoch.
     ///
-    /// The commits of one shard take effect in the order in which they are
-    /// given, and each is tried until its fate is known: `Committed` or
-    /// `CommitLost`.
+    /// The commits of one shard take effect in the order in which the owner
+    /// emits them. Each is retried until its result is known and reported as
+    /// `Committed` or `CommitLost`.
     Commit {
-        /// Number of the commit.
+        /// The number of the commit.
         commit: CommitId,
         /// The shard.
         shard: Shard,
-        /// The epoch that must still stand.
+        /// The epoch that the shard must still have.
         epoch: Epoch,
-        /// Program records.
+        /// The program records to write.
         programs: Vec<ProgramRecord>,
-        /// Turn records.
+        /// The records of calls to write.
         turns: Vec<TurnRecord>,
     },
-    /// Ask a sidecar for a call's outcome or bury the call there.
+    /// Queries a sidecar for the outcome of a call. If the call has not run
+    /// there, the sidecar buries it: it refuses the claimed attempts from then
+    /// on.
     Claim {
         /// The call.
         call: CallId,
-        /// The attempt; this one and all before it are buried.
+        /// The newest attempt to bury, together with all earlier ones.
         attempt: Attempt,
         /// The program's shard.
         shard: Shard,
         /// The epoch under which this entry owns it.
         epoch: Epoch,
-        /// Whom to ask.
+        /// The sidecar to query.
         placement: Placement,
     },
-    /// Tell a sidecar that a call's end is durable.
+    /// Notifies a sidecar that the end of a call is durable, so that it can
+    /// drop the retained answer.
     Acknowledge {
         /// The call.
         call: CallId,
@@ -308,36 +314,38 @@
         shard: Shard,
         /// The epoch under which this entry owns it.
         epoch: Epoch,
-        /// Whom to tell.
+        /// The sidecar to notify.
         placement: Placement,
     },
-    /// Tell everyone who follows a call that it ended.
+    /// Sends the outcome of an ended call to all its followers.
     CallEnded {
         /// The call.
         call: CallId,
-        /// How.
+        /// The outcome.
         outcome: CallOutcome,
     },
-    /// Free the KV cache of a program.
+    /// Frees the KV cache of a program.
     ReleaseHolds {
         /// The program.
         program: ProgramId,
-        /// Endpoints that may hold some.
+        /// Endpoints that may hold a part of it.
         endpoints: Vec<EndpointId>,
     },
-    /// Nothing of the shard is in flight or unwritten: hand it over.
+    /// Reports that no write of the shard is pending and no call of it is about
+    /// to be dispatched, so that it can be handed over.
     ShardDrained {
         /// The shard.
         shard: Shard,
     },
-    /// Make a quarantined request known everywhere, durably.
+    /// Stores the quarantine of a request durably and distributes it to all
+    /// entries.
     Quarantine {
-        /// Its fingerprint.
+        /// The fingerprint of the request.
         fingerprint: String,
     },
-    /// Count something.
+    /// Increments a metric.
     Count {
-        /// What.
+        /// The metric.
         metric: Metric,
     },
 }
--- a/coordination/src/owner/program.rs
+++ b/coordination/src/owner/program.rs
@@ -34,7 +34,7 @@
     pub(super) is_durable: bool,
     /// The endpoint that holds the program's KV cache.
     pub(super) warm: Option<EndpointId>,
-    /// Tokens that all finished calls of the program have used so far.
+    /// Tokens that finished calls of the program have used under this owner.
     pub(super) attained_tokens: u64,
     /// The position of the next new call.
     pub(super) next_sequence: Sequence,
