--- a/coordination/src/owner/event.rs
+++ b/coordination/src/owner/event.rs
@@ -1,4 +1,5 @@
-//! What the owner is told.
+//! The events that the owner processes, and the requests, placements and
+//! outcomes that they carry.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -8,71 +9,73 @@
 
 use crate::warmth::SharedPrefix;
 
-/// One waiting request of a caller at this entry.
+/// Number that identifies one pending request of a caller at this entry.
 pub type Ticket = u64;
-/// Number of a commit, counted by one owner.
+/// Number of a commit, unique within one owner.
 pub type CommitId = u64;
-/// Counts the dispatches of a call over all owners, from 1.
+/// Number of an attempt of a call, above 0 and increasing across owners.
 pub type Attempt = u32;
 
-/// A call as its caller asked for it.
+/// The request of a caller to run a call.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct CallRequest {
     /// The program that makes the call.
     pub program: ProgramId,
     /// The caller's idempotency key.
     pub key: Option<String>,
-    /// The call's position; without it the call gets the next one.
+    /// The position of the call, or `None` to assign the next free one.
     pub sequence: Option<Sequence>,
-    /// What the call runs on.
+    /// The kind of endpoint that runs the call.
     pub kind: CallKind,
-    /// The model's or the tool's name.
+    /// The name of the model or tool.
     pub target: String,
     /// Whether the call may run more than once.
     pub repeatable: bool,
-    /// JSON body for the endpoint.
+    /// The JSON body that the endpoint receives.
     pub body: Arc<[u8]>,
-    /// Digest of target and body; two requests are the same when it is equal.
+    /// Digest of target and body. Two requests with equal digests are the same
+    /// request.
     pub body_digest: String,
-    /// Digest of customer and body, by which a request is quarantined.
+    /// Digest of customer and body, which identifies a quarantined request.
     pub fingerprint: String,
-    /// Upper bound of the prompt's tokens.
+    /// Upper bound of the prompt length, in tokens.
     pub prompt_tokens: u64,
-    /// Upper bound of the answer's tokens, which the endpoint enforces.
+    /// Upper bound of the answer length, in tokens, which the endpoint enforces.
     pub max_answer_tokens: u64,
-    /// Prefixes that other prompts may share, the shortest first, each the
-    /// start of the next.
+    /// Prompt prefixes that other prompts may share, shortest first. Each is a
+    /// prefix of the next.
     pub shared_prefixes: Vec<SharedPrefix>,
-    /// Until when the caller waits, on the clock of `now`.
+    /// Time until which the caller waits, on the clock that
+    /// [`Owner::step`](super::Owner::step) receives.
     pub deadline: Option<Duration>,
 }
 
 impl CallRequest {
-    /// The most that one run of the call can spend.
+    /// Returns the maximum number of tokens that one run of the call can spend.
     pub fn worst_case_tokens(&self) -> u64 {
         self.prompt_tokens.saturating_add(self.max_answer_tokens)
     }
 }
 
-/// A run of an endpoint's sidecar.
+/// The endpoint for an attempt, with the incarnation of its sidecar.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub struct Placement {
     /// The endpoint.
     pub endpoint: EndpointId,
-    /// The run of its sidecar.
+    /// The incarnation of the endpoint's sidecar.
     pub incarnation: Incarnation,
 }
 
-/// Why no endpoint was chosen.
+/// The result of a placement that found no endpoint.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct NoPlacement {
-    /// Why.
+    /// The reason for which no endpoint was chosen.
     pub reason: NoPlacementReason,
-    /// When to come back.
+    /// The delay after which the caller should retry.
     pub retry_after: Duration,
 }
 
-/// Why no endpoint was chosen.
+/// The reason for which no endpoint was chosen.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub enum NoPlacementReason {
     /// No endpoint serves the target.
@@ -83,32 +86,32 @@
     Saturated,
 }
 
-/// Why a sidecar did not run a call.
+/// The reason for which a sidecar did not run a call.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub enum DispatchRefusal {
     /// The endpoint is leaving.
     Leaving,
-    /// The queue is full.
+    /// The queue of the endpoint is full.
     QueueFull,
-    /// Too many answers wait to be acknowledged.
+    /// The sidecar retains too many answers that are not acknowledged.
     RetentionFull,
-    /// The sidecar has seen a newer owner of the shard.
+    /// The sidecar has received a newer epoch of the shard.
     StaleEpoch,
-    /// The sidecar was replaced since it was chosen.
+    /// The sidecar was replaced by another incarnation since the placement.
     OtherIncarnation,
-    /// The call was buried there by a claim.
+    /// A claim buried the call at the sidecar, which refuses it since.
     Buried,
     /// The call is too large for the endpoint.
     TooLarge,
     /// The endpoint does not serve the target.
     UnknownTarget,
-    /// The deadline passed in the queue.
+    /// The deadline passed while the call was queued.
     Deadline,
     /// The endpoint is down; its sidecar is up.
     EndpointDown,
     /// The request is quarantined.
     Quarantined,
-    /// The sidecar knows another request under the same id.
+    /// The sidecar has stored another request under the same id.
     Duplicate,
     /// The request was malformed.
     Invalid,
@@ -116,24 +119,25 @@
     NotConnected,
 }
 
-/// How a dispatched call failed.
+/// The way in which a dispatched call failed.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub enum DispatchFailure {
     /// The endpoint crashed with the call in flight.
     EndpointCrashed,
-    /// The endpoint gave no sign of progress for too long.
+    /// The endpoint made no progress before the timeout.
     EndpointTimeout,
-    /// The endpoint broke off.
+    /// The endpoint aborted the call.
     EndpointError,
     /// The call was cancelled.
     Cancelled,
     /// The sidecar stopped.
     SidecarStopped,
-    /// The stream broke and could not be resumed; the sidecar may still know.
+    /// The stream broke and could not be resumed. The sidecar may still have
+    /// the outcome.
     ConnectionLost,
 }
 
-/// What a claim brought to light.
+/// The result of a claim.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum ClaimOutcome {
     /// The answer is retained at the sidecar.
@@ -141,38 +145,40 @@
     /// The call is in flight at the sidecar. The process resumes its stream,
     /// so that `Finished` or `DispatchFailed` follows for this attempt.
     Running,
-    /// The call has not run there and never will under this attempt.
+    /// The call has not run at the sidecar, which refuses this attempt from now
+    /// on.
     Buried,
-    /// This run of the sidecar cannot know.
+    /// This incarnation of the sidecar cannot determine the outcome.
     Unknown,
     /// The sidecar did not answer.
     Unreachable,
-    /// The call was handed to the endpoint and ended badly.
+    /// The call was sent to the endpoint and failed.
     Failed {
-        /// Whether the endpoint may have acted on it.
+        /// Whether the endpoint may have run the call.
         may_have_run: bool,
     },
-    /// The sidecar has seen a newer owner of the shard.
+    /// The sidecar has received a newer epoch of the shard.
     StaleEpoch,
 }
 
-/// A call that a sidecar holds for a shard, not yet acknowledged.
+/// A call of a shard that a sidecar retains until it is acknowledged.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct RetainedTurn {
-    /// The record that came with the call's dispatch: its state is `Intent`.
+    /// The record that came with the dispatch of the call, in state `Intent`.
     pub turn: TurnRecord,
-    /// The newest attempt that the sidecar knows of; a later one of the same
-    /// request joins the one that runs.
+    /// The newest attempt that the sidecar has received. A later attempt of the
+    /// same request joins the running one.
     pub attempt: Attempt,
-    /// The whole answer, or none while the call is in flight.
+    /// The complete answer, or `None` while the call is in flight.
     pub answer: Option<AnswerRecord>,
 }
 
-/// What the owner is told.
+/// An input of the owner: a request, a reply to an action, or a change of state
+/// around it.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Event {
-    /// This entry owns a shard. The sidecars were asked for what they retain,
-    /// under the new epoch, before this is told.
+    /// This entry has gained a shard. Before this event, the process requests
+    /// the retained calls of the sidecars under the new epoch.
     ShardGained {
         /// The shard.
         shard: Shard,
@@ -182,30 +188,30 @@
         programs: Vec<ProgramRecord>,
         /// All turn records of the shard; answers may be left empty.
         turns: Vec<TurnRecord>,
-        /// What sidecars retain for the shard.
+        /// Calls that sidecars retain for the shard.
         retained: Vec<RetainedTurn>,
-        /// Calls that were at endpoints when the last owner handed the shard
-        /// over, as that owner knew them.
+        /// Calls that the previous owner had at endpoints when it handed the
+        /// shard over.
         under_way: Vec<TurnRecord>,
-        /// The highest epoch of the shard at which one of the sidecars
-        /// started, when all of them told what they retain: of calls under a
-        /// later epoch they know everything. For programs whose record has a
-        /// later epoch, the part of the budget that was drawn and not spent
-        /// comes back. None when a sidecar was not asked.
+        /// The highest epoch of the shard at which one of the sidecars started,
+        /// or `None` if a sidecar did not report its retained calls. Calls under
+        /// a later epoch are completely covered by `retained`. For programs
+        /// whose record has a later epoch, the part of the budget that was drawn
+        /// but not spent is therefore returned.
         retained_after: Option<Epoch>,
     },
-    /// The shard has another owner. Told before this entry can gain the shard
-    /// again, as `CommitLost` is.
+    /// The shard has another owner. The process sends this event, like
+    /// `CommitLost`, before this entry can gain the shard again.
     ShardLost {
         /// The shard.
         shard: Shard,
     },
-    /// The shard is to be handed over: no new calls.
+    /// A handoff of the shard begins; the shard takes no new calls.
     ShardLeaving {
         /// The shard.
         shard: Shard,
     },
-    /// The shard is not handed over after all: it takes calls again.
+    /// The handoff of the shard was cancelled; the shard takes calls again.
     ShardStays {
         /// The shard.
         shard: Shard,
@@ -216,54 +222,54 @@
         ticket: Ticket,
         /// The program.
         program: ProgramId,
-        /// Its budget; not used for a sub-agent.
+        /// The budget of the program, in tokens; ignored for a sub-agent.
         budget_tokens: u64,
-        /// The number of calls it may make.
+        /// The maximum number of calls, or `None` for the default.
         turn_limit: Option<u64>,
-        /// The age it may reach.
+        /// The maximum age, or `None` for the default.
         wall_limit: Option<Duration>,
         /// Digest of the request.
         body_digest: String,
     },
-    /// A program is ended.
+    /// A program is to be ended.
     End {
-        /// The caller that asks, if one does.
+        /// The caller that requested it, if any.
         ticket: Option<Ticket>,
         /// The program.
         program: ProgramId,
-        /// Why.
+        /// The reason for which the program ends.
         reason: EndReason,
     },
-    /// A caller makes a call.
+    /// A caller submits a call.
     Submit {
         /// The caller.
         ticket: Ticket,
-        /// The call.
+        /// The request.
         request: CallRequest,
     },
-    /// A caller no longer waits.
-    CallerGone {
+    /// A caller stopped waiting for a reply.
+    CallerDisconnected {
         /// The caller.
         ticket: Ticket,
     },
-    /// Answers `Action::Place`.
+    /// The result of `Action::Place`.
     Placed {
         /// The call.
         call: CallId,
-        /// The attempt that was to be placed.
+        /// The attempt that requested the placement.
         attempt: Attempt,
-        /// The endpoint, or why there is none.
+        /// The placement, or the reason for which there is none.
         outcome: Result<Placement, NoPlacement>,
     },
-    /// The sidecar did not run the call and never will under this attempt.
+    /// The sidecar did not run the call and will never run this attempt.
     DispatchRefused {
         /// The call.
         call: CallId,
         /// The attempt.
         attempt: Attempt,
-        /// Why.
+        /// The reason of the refusal.
         reason: DispatchRefusal,
-        /// When to come back.
+        /// The delay after which the caller should retry.
         retry_after: Duration,
     },
     /// The dispatched call did not finish.
@@ -272,14 +278,15 @@
         call: CallId,
         /// The attempt.
         attempt: Attempt,
-        /// How it failed.
+        /// The way in which the call failed.
         reason: DispatchFailure,
-        /// Whether the endpoint may have acted on it.
+        /// Whether the endpoint may have run the call.
         may_have_run: bool,
-        /// Calls in flight when the endpoint crashed, this one included.
+        /// Calls that were in flight when the endpoint crashed, including this
+        /// one.
         suspects: Vec<CallId>,
     },
-    /// The dispatched call finished and its answer is whole.
+    /// The dispatched call finished with a complete answer.
     Finished {
         /// The call.
         call: CallId,
@@ -293,30 +300,30 @@
         /// The commit.
         commit: CommitId,
     },
-    /// The table refused a commit, because the shard has another epoch.
+    /// The table refused a commit because the shard has another epoch.
     CommitLost {
         /// The shard.
         shard: Shard,
     },
-    /// Answers `Action::Claim`.
+    /// The result of `Action::Claim`.
     Claimed {
         /// The call.
         call: CallId,
         /// The attempt that was claimed.
         attempt: Attempt,
-        /// What was found.
+        /// The result of the claim.
         outcome: ClaimOutcome,
     },
-    /// The table answers, or stopped answering.
+    /// The table became available or unavailable.
     TableState {
-        /// Whether it answers.
+        /// Whether the table answers requests.
         answering: bool,
     },
-    /// Requests that are quarantined anywhere.
+    /// Requests that were quarantined by any entry.
     Quarantined {
-        /// Their fingerprints.
+        /// The fingerprints of the requests.
         fingerprints: Vec<String>,
     },
-    /// Time passed; sent several times a second.
+    /// A periodic timer event, sent several times a second.
     Tick,
 }
--- a/coordination/src/owner/mod.rs
+++ b/coordination/src/owner/mod.rs
@@ -209,7 +209,7 @@
                 reason,
             } => self.end(now, ticket, &program, reason),
             Event::Submit { ticket, request } => self.submit(now, ticket, request),
-            Event::CallerGone { ticket } => self.caller_gone(ticket),
+            Event::CallerDisconnected { ticket } => self.caller_disconnected(ticket),
             Event::Placed {
                 call,
                 attempt,
--- a/coordination/src/owner/submit.rs
+++ b/coordination/src/owner/submit.rs
@@ -230,7 +230,7 @@
 
     /// Removes a caller from all queues, and drops the waiting calls that have
     /// no caller left.
-    pub(super) fn caller_gone(&mut self, ticket: Ticket) {
+    pub(super) fn caller_disconnected(&mut self, ticket: Ticket) {
         for program in self.programs.values_mut() {
             program.openers.retain(|opener| *opener != ticket);
             program.enders.retain(|ender| *ender != ticket);
