--- a/coordination/src/owner/clock.rs
+++ b/coordination/src/owner/clock.rs
@@ -110,7 +110,7 @@
         program.waiting = kept;
         let unreported = program.turns.iter().filter(|(_, turn)| {
             let unwritten = turn.unwritten.as_ref();
-            unwritten.is_some_and(|unwritten| !unwritten.is_told)
+            unwritten.is_some_and(|unwritten| !unwritten.is_reported)
         });
         let unreported: Vec<_> = unreported.map(|(sequence, _)| *sequence).collect();
         for ticket in undecided {
@@ -119,7 +119,7 @@
         }
         self.refuse_waiting(refused, RefusalReason::TableUnavailable);
         for sequence in unreported {
-            self.tell_end(id, sequence);
+            self.report_end(id, sequence);
         }
         if self.needs_table(id) {
             self.release(id);
--- a/coordination/src/owner/durable.rs
+++ b/coordination/src/owner/durable.rs
@@ -228,7 +228,7 @@
         if !is_there {
             return;
         }
-        self.tell_end(id, call.sequence);
+        self.report_end(id, call.sequence);
         let program = self.programs.get_mut(id).expect("checked above");
         let turn = program
             .turns
