--- a/coordination/src/gateway/escrow/slots.rs
+++ b/coordination/src/gateway/escrow/slots.rs
@@ -4,8 +4,8 @@
 //! unowned slot by a conditional write of the row, under the row version that it has
 //! read. A process that stops writes the name of a successor and its accounts into the
 //! row; while the store is unavailable, it sends the accounts to the successor instead.
-//! The successor must have confirmed beforehand that it keeps running, because the
-//! table of hosts may still list hosts that have stopped since. If no host confirms,
+//! Before that, the successor must confirm that it keeps running, because the table of
+//! hosts may still list a host that has stopped. If no host confirms,
 //! the row names no owner, and any process may claim the slot.
 //!
 //! When an owner dies, its accounts are lost. If it died during a hold-off, the next
@@ -75,7 +75,7 @@
 }
 
 impl HeldSlot {
-    /// Creates the slot's row for another owner.
+    /// Returns the slot's row with the given owner.
     fn row(&self, owner: Option<ProcessId>) -> SlotRow {
         SlotRow {
             owner,
@@ -96,8 +96,8 @@
     /// claimed before this is the case.
     all_withhold: bool,
     observed: BTreeMap<SlotId, ObservedSlot>,
-    /// Time since which there has been a slot without a row that this process should
-    /// own.
+    /// Time since which at least one slot that this process should own has had no row;
+    /// `None` if there is no such slot.
     unclaimed_since: Option<Duration>,
     held: BTreeMap<SlotId, HeldSlot>,
     /// Previous process on this host, if it died during its hold-off.
@@ -111,8 +111,8 @@
     /// Slots that this process owned when it began to stop. It never answers requests
     /// for them again, because other processes may own them by now.
     released: BTreeSet<SlotId>,
-    /// Slots that this process has agreed to take over and whose new row it has not
-    /// read.
+    /// Slots that this process has agreed to take over and for which it has not read a
+    /// row with a new owner.
     accepted: BTreeSet<SlotId>,
     is_stopping: bool,
 }
@@ -224,9 +224,9 @@
         }
     }
 
-    /// Completes a slot, so that this process answers requests for it. `closed` lists
-    /// the programs whose ledgers counted the slot as closed when its fence already had
-    /// the version `fence`.
+    /// Completes a slot, so that this process answers requests for it. `fence` is
+    /// the version of the slot's fence. `closed` lists the programs whose ledgers
+    /// counted the slot as closed when the fence already had this version.
     pub fn complete(&mut self, slot: &SlotId, fence: RowVersion, closed: &[ProgramKey]) {
         if !self.incomplete().contains(slot) {
             return;
@@ -387,15 +387,15 @@
     pub fn claims(&mut self, now: Duration) -> Vec<SlotWrite> {
         self.update_missing(now);
         let claimable = SlotId::all().filter(|slot| self.should_claim(slot, now));
-        let (mut claimable, new): (Vec<SlotId>, Vec<SlotId>) =
+        let (mut claimable, without_row): (Vec<SlotId>, Vec<SlotId>) =
             claimable.partition(|slot| self.observed.contains_key(slot));
-        if new.is_empty() {
+        if without_row.is_empty() {
             self.unclaimed_since = None;
         } else {
             let since = *self.unclaimed_since.get_or_insert(now);
             let is_stable = now.saturating_sub(self.hosts_changed_at) >= STABLE_FOR;
             if is_stable || now.saturating_sub(since) >= MAX_CLAIM_DELAY {
-                claimable.extend(new);
+                claimable.extend(without_row);
             }
         }
         claimable.into_iter().map(|slot| self.claim(slot)).collect()
@@ -471,23 +471,26 @@
             .map(|host| host.process.clone())
             .collect();
         let mut taken = Vec::new();
-        for other in SlotId::of_partition(&slot.partition) {
-            let owner = self.observed.get(&other).and_then(ObservedSlot::owner);
+        for partition_slot in SlotId::of_partition(&slot.partition) {
+            let owner = self
+                .observed
+                .get(&partition_slot)
+                .and_then(ObservedSlot::owner);
             let owner = owner.filter(|owner| ranked.contains(owner));
             let is_free = |process: &&ProcessId| !taken.contains(*process);
-            let next = match owner {
-                Some(owner) if other != *slot => Some(owner.clone()),
+            let slot_owner = match owner {
+                Some(owner) if partition_slot != *slot => Some(owner.clone()),
                 _ => ranked.iter().find(is_free).or(ranked.first()).cloned(),
             };
-            if other == *slot {
-                return self.host(&next?).map(|host| &host.process);
+            if partition_slot == *slot {
+                return self.host(&slot_owner?).map(|host| &host.process);
             }
-            taken.extend(next);
+            taken.extend(slot_owner);
         }
         None
     }
 
-    /// Stops this process from claiming or accepting slots, because it is stopping.
+    /// Marks this process as stopping, after which it neither claims nor accepts slots.
     pub const fn stop_acquiring(&mut self) {
         self.is_stopping = true;
     }
--- a/coordination/src/gateway/group_commit.rs
+++ b/coordination/src/gateway/group_commit.rs
@@ -9,10 +9,10 @@
 //! batch.
 //!
 //! This needs no agreement between hosts, and a batcher keeps no state that the senders
-//! lack. Each entry of a batch carries its own conditions, so an entry that was applied
-//! here and is sent again elsewhere fails them. If two hosts batch the same partition,
-//! each of them only forms smaller batches. If the conditions of a batch fail, the rows
-//! that the store returns show which entries they belong to: those entries end with the
+//! lack. Each entry of a batch carries its own conditions, and these fail if the entry
+//! was already applied through another host. If two hosts batch the same partition, each
+//! of them only forms smaller batches. If the conditions of a batch fail, the rows that
+//! the store returns show which entries they belong to: those entries end with the
 //! conflict, and the others are sent again.
 
 use std::collections::{HashMap, HashSet, VecDeque};
@@ -28,8 +28,8 @@
 /// adds a third. A call to the store holds at most 1 MB.
 const MAX_BATCH_BYTES: usize = 600_000;
 /// Maximum number of rows whose newest version is cached, at about 400 bytes each. A
-/// partition with 100 turns a second needs the rows of the last few seconds, since a
-/// transaction with an outdated version is based on a read within the last turn.
+/// partition with 100 turns a second needs the rows of the last few seconds, because a
+/// transaction that requires an outdated version has read it within the last turn.
 const MAX_RECENT_ROWS: usize = 1_024;
 
 /// The share of the store's write rate that batches use while every partition has
@@ -37,7 +37,7 @@
 /// unreachable, for deletions and for retries.
 const BATCH_WRITE_SHARE: f64 = 0.75;
 
-/// Returns the minimum time between the starts of two batches of a partition that keeps
+/// Returns the minimum time between the starts of two batches of one partition. It keeps
 /// all partitions together within the write rate that the store declares. The store
 /// refuses calls beyond the rate, and sending them again makes a burst last longer.
 pub fn min_batch_interval(partitions: u64, writes_per_s: u64) -> Duration {
@@ -45,8 +45,9 @@
     Duration::from_secs_f64(partitions as f64 / batches_per_s.max(1.0))
 }
 
-/// Maximum number of overdue batches of one partition. The store receives copies of
-/// each of them, and every partition may have this many.
+/// Maximum number of overdue batches of one partition. The store client sends
+/// further copies of a call that has no answer, and every partition may have this many
+/// overdue batches.
 const MAX_OVERDUE: usize = 3;
 
 /// Identifies a batch entry until its outcome is known.
@@ -65,9 +66,9 @@
 /// The batch entries of one partition: those that are pending, and those of batches that
 /// the store has not answered yet.
 ///
-/// At most one batch is in flight that is not overdue, beside a few overdue ones. A row
-/// that an entry of these batches changes occurs in no other entry, and all entries with a
-/// condition on a row that none of them changes require the same version of it.
+/// Besides a few overdue batches, at most one batch is in flight. A row that an entry of
+/// these batches changes occurs in no other entry of them. If no entry changes a row, all
+/// conditions on this row require the same version.
 #[derive(Debug, Default)]
 pub struct GroupCommit {
     pending: VecDeque<BatchEntry>,
@@ -186,8 +187,8 @@
             .into_iter()
             .partition(|entry| entry.transaction.conditions.iter().all(holds));
         if failed.is_empty() {
-            // These rows fail no condition of any entry, so the conflict has another
-            // cause, and retrying could repeat it without end.
+            // The returned rows satisfy the conditions of all entries, so the conflict has
+            // another cause and could recur at every retry.
             return answer_all(retried, &Answer::NotKnown);
         }
         for row in rows {
@@ -217,8 +218,8 @@
     transaction: Transaction,
     /// The rows that its entries, and those of overdue batches, write or delete.
     changed: HashSet<RowId>,
-    /// The rows that conditions of these entries require at a version and that none of
-    /// the entries changes.
+    /// The rows that none of these entries changes, with the version that the conditions
+    /// of the entries require.
     required: HashMap<RowId, RowVersion>,
     /// Number of entries of `transaction` as the store counts them, which limits them to
     /// [`MAX_TRANSACTION_ENTRIES`].
--- a/coordination/src/gateway/limits/local_quota.rs
+++ b/coordination/src/gateway/limits/local_quota.rs
@@ -12,9 +12,9 @@
 const GRANT_LIFETIME: Duration = Duration::from_secs(1);
 /// Time constant of the smoothed request rate, in seconds.
 const RATE_TIME_CONSTANT_S: f64 = 2.0;
-/// Period for which quota is requested in advance, in seconds, so that usually a
-/// request does not wait for a grant. Quota that a host holds for longer is not
-/// available to others.
+/// Period in seconds for which quota is requested in advance, so that a request
+/// usually does not wait for a grant. With a longer period, a host would keep more
+/// quota from others.
 const PREFETCH_S: f64 = 0.3;
 /// Time after which a quota request without a response is sent again, because
 /// datagrams may be lost.
@@ -75,7 +75,7 @@
     served_at: Duration,
     /// Number of requests that may be served without a grant while the allocator
     /// does not respond.
-    unacknowledged: f64,
+    unacknowledged_allowance: f64,
     unacknowledged_at: Option<Duration>,
     /// Number of the latest quota request; `requested_at` is the time when it was
     /// sent.
@@ -100,23 +100,23 @@
         }
     }
 
-    /// Admits requests at the rate of the past while the allocator does not respond,
-    /// and returns whether this one is admitted. The next report to the allocator
-    /// includes them.
+    /// Returns whether a request is admitted while the allocator does not respond.
+    /// Requests are then admitted at the smoothed rate of past requests, and the next
+    /// report to the allocator includes them.
     pub fn admit_unacknowledged(&mut self, class: RequestClass, now: Duration) -> bool {
         let request_rate = self.request_rate(now);
-        let since = self.unacknowledged_at.replace(now);
-        self.unacknowledged = match since {
+        let last_checked_at = self.unacknowledged_at.replace(now);
+        self.unacknowledged_allowance = match last_checked_at {
             None => 1.0,
-            Some(since) => {
-                let elapsed = now.saturating_sub(since).as_secs_f64();
-                (self.unacknowledged + request_rate * elapsed).min(request_rate.max(1.0))
+            Some(last_checked_at) => {
+                let elapsed = now.saturating_sub(last_checked_at).as_secs_f64();
+                (self.unacknowledged_allowance + request_rate * elapsed).min(request_rate.max(1.0))
             }
         };
-        if self.unacknowledged < 1.0 {
+        if self.unacknowledged_allowance < 1.0 {
             return false;
         }
-        self.unacknowledged -= 1.0;
+        self.unacknowledged_allowance -= 1.0;
         self.record_served(class, now);
         true
     }
--- a/coordination/src/owner/attempt.rs
+++ b/coordination/src/owner/attempt.rs
@@ -18,8 +18,8 @@
 use super::program::{ActiveCall, Stage, TurnEnd, call_id};
 
 /// Size of the range of attempt numbers reserved for each epoch. Disjoint
-/// ranges keep two owners from using one number for different dispatches of a
-/// position.
+/// ranges prevent two owners from using the same number for different dispatches
+/// of the call at one position.
 const ATTEMPTS_PER_EPOCH: u64 = 1000;
 
 /// Returns the number before the first attempt of an epoch.
@@ -144,10 +144,10 @@
         }
         let id = &call.program;
         match outcome {
-            Err(none) => {
+            Err(no_placement) => {
                 self.release(id);
-                let reason = placement_refusal(none.reason);
-                self.end_not_run(now, id, reason, Some(none.retry_after));
+                let reason = placement_refusal(no_placement.reason);
+                self.end_not_run(now, id, reason, Some(no_placement.retry_after));
             }
             Ok(placement) if active.repeatable => self.dispatch(now, id, placement),
             Ok(_) if !is_answering => {
@@ -280,13 +280,13 @@
             return;
         }
         let endpoint = active.stage.placement().map(|place| place.endpoint.clone());
-        let last = std::mem::replace(&mut program.warm, endpoint);
-        if let Some(last) = last
-            && program.warm.as_ref() != Some(&last)
+        let previous = std::mem::replace(&mut program.warm, endpoint);
+        if let Some(previous) = previous
+            && program.warm.as_ref() != Some(&previous)
         {
             self.out.push(Action::ReleaseHolds {
                 program: id.clone(),
-                endpoints: vec![last],
+                endpoints: vec![previous],
             });
         }
     }
--- a/coordination/src/owner/program.rs
+++ b/coordination/src/owner/program.rs
@@ -38,13 +38,13 @@
     pub(super) attained_tokens: u64,
     /// The position of the next new call.
     pub(super) next_sequence: Sequence,
-    /// The last attempt at the position before `next_sequence`, or at
-    /// `next_sequence` when that call was refused and its position freed.
+    /// Number of the last attempt at the position before `next_sequence`. If
+    /// that call was refused and its position freed, the number is that of the
+    /// last attempt at `next_sequence`.
     pub(super) last_attempt: Attempt,
     /// Calls that wait for their turn, in order of arrival.
     pub(super) waiting: VecDeque<Waiting>,
-    /// The call that has its turn, at most one; its position is below
-    /// `next_sequence`.
+    /// The active call, if there is one. Its position is below `next_sequence`.
     pub(super) active: Option<Box<ActiveCall>>,
     /// Ended calls by position.
     pub(super) turns: BTreeMap<Sequence, Turn>,
@@ -163,7 +163,7 @@
     pub(super) unwritten: Option<Box<Unwritten>>,
 }
 
-/// How a call ended.
+/// The way in which a call ended.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(super) enum TurnEnd {
     /// The call did not run before its program continued with another one.
--- a/coordination/src/owner/takeover.rs
+++ b/coordination/src/owner/takeover.rs
@@ -51,7 +51,7 @@
         self.shards.insert(gain.shard, ShardState::new(gain.epoch));
         // Root programs for which the sidecars retain every call that is missing
         // from the records.
-        let mut complete = BTreeSet::new();
+        let mut complete_roots = BTreeSet::new();
         for record in &gain.programs {
             let mut program = Program::from_record(gain.shard, now, record);
             let is_complete = gain
@@ -59,7 +59,7 @@
                 .is_some_and(|after| record.epoch > after);
             if record.program.parent().is_none() {
                 program.account = Some(account(record, is_complete));
-                complete.extend(is_complete.then(|| record.program.clone()));
+                complete_roots.extend(is_complete.then(|| record.program.clone()));
             }
             self.programs.insert(record.program.clone(), program);
         }
@@ -69,11 +69,11 @@
         }
         let mut open_turns = BTreeMap::new();
         for record in gain.turns {
-            let is_complete = complete.contains(&record.call.program.root());
+            let is_complete = complete_roots.contains(&record.call.program.root());
             self.restore_turn(record, is_complete, &mut retained, &mut open_turns);
         }
         for (call, retained) in retained {
-            let is_complete = complete.contains(&call.program.root());
+            let is_complete = complete_roots.contains(&call.program.root());
             self.restore_retained(&call, retained, is_complete, &mut open_turns);
         }
         for record in &gain.programs {
@@ -186,21 +186,21 @@
         let mut active = active_call(&newest.turn);
         active.attempt = newest.attempt;
         let known = open_turns.get(&call.program);
-        let is_older = known.is_some_and(|known| {
+        let is_outdated = known.is_some_and(|known| {
             let is_other =
                 known.attempt > active.attempt || known.body_digest != active.body_digest;
             known.sequence > call.sequence || (known.sequence == call.sequence && is_other)
         });
-        let is_same = known.is_some_and(|known| known.sequence == call.sequence);
-        active.has_record = is_same;
+        let is_same_call = known.is_some_and(|known| known.sequence == call.sequence);
+        active.has_record = is_same_call;
         active.earlier = earlier;
         program.next_sequence = program.next_sequence.max(call.sequence + 1);
         let mut spent = earlier_tokens;
-        if is_older {
+        if is_outdated {
             spent += newest_tokens;
         } else if let Some(answer) = newest.answer {
             spent += newest_tokens;
-            if is_same {
+            if is_same_call {
                 open_turns.remove(&call.program);
             }
             self.restore_answer(active, &call.program, answer);
@@ -418,13 +418,13 @@
 }
 
 /// Adds calls that were at endpoints according to the previous owner. An attempt
-/// that a sidecar already reported takes precedence. The other sidecars may
-/// hold these calls and are asked for the outcome.
+/// that a sidecar already reported takes precedence. Sidecars that
+/// have not reported may hold these calls and are asked for the outcome.
 fn add_reported_in_flight(
     retained: &mut BTreeMap<CallId, RetainedCall>,
-    under_way: Vec<TurnRecord>,
+    in_flight_turns: Vec<TurnRecord>,
 ) {
-    for turn in under_way {
+    for turn in in_flight_turns {
         let call = retained.entry(turn.call.clone()).or_default();
         let attempt = attempt_of(&turn);
         let retained = RetainedTurn {
--- a/gateway/src/batched_commits.rs
+++ b/gateway/src/batched_commits.rs
@@ -1,5 +1,5 @@
-//! Sends transactions to the store through the host that batches those of their
-//! partition.
+//! Sends each transaction to the store through the host that batches the transactions
+//! of its partition.
 //!
 //! A transaction is sent to the partition's batcher, which acknowledges it at once
 //! and returns its outcome later. If the acknowledgement or the outcome does not
@@ -39,8 +39,8 @@
 mod ask;
 
 /// Timeout for the acknowledgement of a transaction by a batcher, during which the
-/// caller waits. A batcher takes 2 to 4 ms, and a host with a tenth of a core
-/// about 30 ms.
+/// caller waits. A batcher takes 2 to 4 ms to acknowledge, and one on a host with
+/// a tenth of a core takes about 30 ms.
 const ACCEPT_TIMEOUT: Duration = Duration::from_millis(80);
 
 /// The outcome of a transaction, as it is returned to the caller.
@@ -74,8 +74,8 @@
     /// Minimum time between two batches of a partition.
     min_interval: Cell<Duration>,
     batchers: RefCell<Batchers<SocketAddr>>,
-    /// Time since a transaction was sent after which it is also sent along the next
-    /// path, although the batcher has acknowledged it: four times what recent outcomes
+    /// Time after its sending at which a transaction that a batcher has acknowledged is
+    /// also sent along the next path. It is four times the time that recent outcomes
     /// took.
     timeout: Cell<Duration>,
     connections: PeerConnections,
@@ -102,7 +102,7 @@
 type Attempt<'a> = Pin<Box<dyn Future<Output = AttemptResult> + 'a>>;
 
 impl BatchedCommits {
-    /// Returns an instance without transactions that has no list of other hosts yet.
+    /// Creates an instance that has no transactions and no list of hosts yet.
     pub fn new(
         own_process: ProcessId,
         store: Rc<StoreClient>,
@@ -135,7 +135,8 @@
         self.batchers.borrow_mut().set_hosts(hosts);
     }
 
-    /// Returns the number of batch entries of all hosts whose outcome is pending here.
+    /// Returns the number of entries that this host batches, for itself or for other
+    /// hosts, and whose outcome is not known yet.
     pub fn open_entry_count(&self) -> usize {
         let partitions = self.partitions.borrow();
         partitions
@@ -167,7 +168,7 @@
             return Err(StoreError::Refused);
         }
         let mut attempts = FuturesUnordered::new();
-        let mut failed = StoreError::NoAnswer("the transaction was not sent".to_owned());
+        let mut last_error = StoreError::NoAnswer("the transaction was not sent".to_owned());
         for path in self.paths(transaction) {
             // Each attempt may outlive the iteration that started it, and so may its
             // flag.
@@ -177,7 +178,7 @@
             tokio::select! {
                 Some(result) = attempts.next() => match result {
                     AttemptResult::Ended(outcome) => return outcome,
-                    AttemptResult::Failed(error) => failed = error,
+                    AttemptResult::Failed(error) => last_error = error,
                 },
                 () = timeout => {}
             }
@@ -185,10 +186,10 @@
         while let Some(result) = attempts.next().await {
             match result {
                 AttemptResult::Ended(outcome) => return outcome,
-                AttemptResult::Failed(error) => failed = error,
+                AttemptResult::Failed(error) => last_error = error,
             }
         }
-        Err(failed)
+        Err(last_error)
     }
 
     /// Returns the paths of a transaction in order of preference. The last one always
@@ -322,8 +323,8 @@
             );
             self.start_sending(partition, name);
         }
-        let ended = || StoreError::NoAnswer("the process is stopping".to_owned());
-        outcome.await.unwrap_or_else(|_| Err(ended()))
+        let stopping_error = || StoreError::NoAnswer("the process is stopping".to_owned());
+        outcome.await.unwrap_or_else(|_| Err(stopping_error()))
     }
 
     fn start_sending(self: &Rc<Self>, partition: &mut Partition, name: String) {
--- a/gateway/src/runs.rs
+++ b/gateway/src/runs.rs
@@ -41,10 +41,10 @@
     gateway: Rc<Gateway>,
     call: Rc<Call>,
     exchange: Exchange,
-    /// State of the event series, or none if the stream may not be resumed.
+    /// State of the event series, or `None` if the stream may not be resumed.
     series: Option<EventSeries>,
-    /// Status and headers of the first run whose events were forwarded, or of the current
-    /// run before that.
+    /// Status and headers of the first run whose bytes were forwarded. Until bytes are
+    /// forwarded, they are those of the current run.
     head: Parts,
     /// Whether bytes were forwarded, after which `head` no longer changes.
     has_forwarded: bool,
@@ -58,8 +58,8 @@
     /// Connection to the endpoint, until the body is complete or the run is stopped.
     connection: Option<Connection>,
     header: AnswerHeader,
-    at: OpenEndpointRequest,
-    sent: Duration,
+    endpoint_request: OpenEndpointRequest,
+    sent_at: Duration,
     has_received_data: bool,
 }
 
@@ -69,9 +69,9 @@
         gateway: &Rc<Gateway>,
         call: &Rc<Call>,
         exchange: Exchange,
-        exchanged: EndpointResponse,
+        endpoint_response: EndpointResponse,
     ) -> Self {
-        let (head, run) = Run::start(exchanged);
+        let (head, run) = Run::start(endpoint_response);
         Self {
             gateway: Rc::clone(gateway),
             call: Rc::clone(call),
@@ -90,14 +90,14 @@
 
     /// Returns the endpoint of the current run.
     pub fn endpoint(&self) -> &EndpointIdentity {
-        &self.run.at.endpoint
+        &self.run.endpoint_request.endpoint
     }
 
-    /// Returns the connection to the pool after the body of the last run was received
+    /// Puts the connection back into the pool after the body of the last run was received
     /// completely.
     pub fn keep_connection(&mut self) {
         if let Some(connection) = self.run.connection.take() {
-            let endpoint = &self.run.at.endpoint;
+            let endpoint = &self.run.endpoint_request.endpoint;
             EndpointResponse::return_connection(
                 &self.gateway,
                 endpoint,
@@ -160,7 +160,7 @@
     async fn resume(&mut self, failure: Failure) -> io::Result<()> {
         // Closing the connection stops the work of the endpoint.
         self.run.connection = None;
-        let endpoint = self.run.at.endpoint.clone();
+        let endpoint = self.run.endpoint_request.endpoint.clone();
         self.exchange
             .handle_failure(&endpoint, failure)
             .map_err(io_error)?;
@@ -171,7 +171,8 @@
             Some(ResumePoint::After(last)) => self.exchange.set_last_event(last),
         }
         let (head, run) = self.next_run().await?;
-        let event = Event::new(EventKind::StreamResumed).endpoint(&run.at.endpoint.instance);
+        let event =
+            Event::new(EventKind::StreamResumed).endpoint(&run.endpoint_request.endpoint.instance);
         self.call
             .request_log
             .add_notable_step(event.reason(failure.as_str()));
@@ -187,12 +188,12 @@
     /// the stream and counts as a failure of the endpoint.
     async fn next_run(&mut self) -> io::Result<(Parts, Run)> {
         loop {
-            let exchanged = self.exchange.next().await.map_err(io_error)?;
-            if exchanged.response.status().is_success() {
-                return Ok(Run::start(exchanged));
+            let endpoint_response = self.exchange.next().await.map_err(io_error)?;
+            if endpoint_response.response.status().is_success() {
+                return Ok(Run::start(endpoint_response));
             }
-            let endpoint = exchanged.in_flight.endpoint.clone();
-            drop(exchanged);
+            let endpoint = endpoint_response.in_flight.endpoint.clone();
+            drop(endpoint_response);
             let failure = Failure::Broken;
             self.exchange
                 .handle_failure(&endpoint, failure)
@@ -202,14 +203,14 @@
 }
 
 impl Run {
-    fn start(exchanged: EndpointResponse) -> (Parts, Self) {
-        let (head, body) = exchanged.response.into_parts();
+    fn start(endpoint_response: EndpointResponse) -> (Parts, Self) {
+        let (head, body) = endpoint_response.response.into_parts();
         let run = Self {
             body,
-            connection: Some(exchanged.connection),
-            header: exchanged.header,
-            at: exchanged.in_flight,
-            sent: exchanged.sent_at,
+            connection: Some(endpoint_response.connection),
+            header: endpoint_response.header,
+            endpoint_request: endpoint_response.in_flight,
+            sent_at: endpoint_response.sent_at,
             has_received_data: false,
         };
         (head, run)
@@ -222,9 +223,9 @@
         }
         self.has_received_data = true;
         let now = gateway.clock.now();
-        let latency = now.saturating_sub(self.sent);
+        let latency = now.saturating_sub(self.sent_at);
         let mut directory = gateway.directory.borrow_mut();
-        directory.record_response(&self.at.endpoint, Some(latency), now);
+        directory.record_response(&self.endpoint_request.endpoint, Some(latency), now);
     }
 }
 
--- a/gateway/src/spending.rs
+++ b/gateway/src/spending.rs
@@ -23,9 +23,10 @@
 mod full_budget;
 
 /// Number of further turns of the same size for which the program's budget must have room
-/// if a turn is to be sent before its reservation is durable. Sub-agents spend at other
-/// hosts at the same time, and a turn that does not fit the budget after all has run for
-/// nothing. With less room, the turn waits for its reservation.
+/// if a turn is to be sent before its reservation is durable. Sub-agents on other
+/// hosts spend from the same budget at the same time, and the work of a turn that was sent
+/// early is lost if the turn then does not fit the budget. With less room, the turn waits
+/// for its reservation.
 const MIN_SPARE_TURNS: u64 = 3;
 /// Interval between two requests to an owner that holds off. The owner may end its
 /// hold-off early.
@@ -36,7 +37,8 @@
 /// budget may omit the declaration.
 const DEFAULT_MAX_OUTPUT_TOKENS: u64 = 4_096;
 
-/// Tokens that one turn may spend and has emitted. Dropping the value settles the turn.
+/// Tokens that one turn may spend, and those that it has emitted. Dropping the value settles
+/// the turn.
 #[derive(Debug)]
 pub struct Spending {
     gateway: Rc<Gateway>,
@@ -113,15 +115,16 @@
     fn has_ample_budget(&self, call: &Call) -> bool {
         let commits = &self.gateway.commits;
         let needed_tokens = self.max_output_tokens.saturating_mul(1 + MIN_SPARE_TURNS);
-        // A turn that continues from a kept turn has loaded the ledger together with that
-        // turn, and a turn without a predecessor starts its program. On a route without
-        // history, a program whose ledger is not cached here may already have spent its
-        // budget.
+        // On a route with history, a turn that continues from a kept turn has loaded the
+        // ledger together with that turn, and any other turn starts its program. On a
+        // route without history, a program whose ledger is not cached here may already
+        // have spent its budget.
         let is_known = call.route.keeps_history || commits.has_cached_ledger(&self.program);
         let partition = partition_of(&self.program);
         let is_doubted = self.gateway.store.is_partition_doubted(&partition);
-        let is_held = commits.is_expected_to_fit(&self.program, needed_tokens, self.budget_tokens);
-        is_known && !is_doubted && is_held
+        let fits_budget =
+            commits.is_expected_to_fit(&self.program, needed_tokens, self.budget_tokens);
+        is_known && !is_doubted && fits_budget
     }
 
     /// Waits for the reservation of a turn that has not been sent yet to become durable.
