--- a/gateway/src/commits.rs
+++ b/gateway/src/commits.rs
@@ -82,7 +82,7 @@
     }
 
     /// Adds a change for whose outcome no caller waits. It is sent together with the next
-    /// change of its partition, or by itself after [`MAX_DEFERRAL`].
+    /// change of its partition, or by itself after `MAX_DEFERRAL`.
     pub fn submit_deferred(self: &Rc<Self>, program: ProgramKey, change: Change) {
         let name = partition_of(&program);
         let mut partitions = self.partitions.borrow_mut();
--- a/gateway/src/unusable.rs
+++ b/gateway/src/unusable.rs
@@ -8,7 +8,7 @@
 /// are logged. Each event holds the total number.
 const MAX_UNUSABLE_LINES: usize = 8;
 
-/// Logs the routes of a version that can't be used, up to [`MAX_UNUSABLE_LINES`].
+/// Logs the routes of a version that can't be used, up to `MAX_UNUSABLE_LINES`.
 pub fn log_routes(routes: &RouteTable) {
     let unusable = routes.unusable_routes();
     let version = routes.deployment().version;
@@ -19,7 +19,7 @@
     }
 }
 
-/// Logs the customers of a version that can't be used, up to [`MAX_UNUSABLE_LINES`].
+/// Logs the customers of a version that can't be used, up to `MAX_UNUSABLE_LINES`.
 pub fn log_customers(routes: &RouteTable) {
     let deployment = routes.deployment();
     let Some(customers) = &deployment.customers else {
