--- a/coordination/src/gateway/batchers.rs
+++ b/coordination/src/gateway/batchers.rs
@@ -29,14 +29,14 @@
 /// A gateway host as this one knows it.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct PeerHost<A> {
-    /// Its name, which is the same after a restart.
+    /// Name of the host, which stays the same when its process restarts.
     pub host: HostId,
-    /// Its present process. A later process of the host is not subject to the backoff of
-    /// this one.
+    /// Current process of the host. A later process of the host is not subject to the
+    /// backoff of this one.
     pub process: ProcessId,
-    /// The address at which it accepts requests of other hosts.
+    /// Address at which the host accepts requests of other hosts.
     pub address: A,
-    /// Its share of a processor, in thousandths of a core.
+    /// Processor share of the host, in thousandths of a core.
     pub processor_milli: u32,
 }
 
